--- a/crates/soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -1,8 +1,8 @@
 //! The deployment of one run, drawn from its seed, and the configuration that routers get of it.
 
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::history::{Effect, Group, Role, WorkerIndex};
-use emulator::worker::WorkerSettings;
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::history::{Effect, Group, Role, WorkerIndex};
+use fleet_emulator::worker::WorkerSettings;
 use rand::Rng;
 use rand::rngs::StdRng;
 use serde_json::{Value, json};
--- a/crates/soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -1,10 +1,10 @@
 //! The usual clients: an open loop of requests to each router.
 
 use crate::deployment::{CLASSES, Deployment};
-use emulator::client::{Clients, Manners, Outcome, Request};
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::fleet::Network;
-use emulator::history::{Effect, History, RouterIndex};
+use fleet_emulator::client::{Clients, Manners, Outcome, Request};
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::fleet::Network;
+use fleet_emulator::history::{Effect, History, RouterIndex};
 use rand::Rng;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,11 +1,11 @@
 //! Plays the fault soak for one or more seeds.
 
 use clap::Parser;
-use emulator::clock::SECOND;
-use soak::oracle::judge;
-use soak::report;
-use soak::router::Programs;
-use soak::run::{Options, play};
+use fault_soak::oracle::judge;
+use fault_soak::report;
+use fault_soak::router::Programs;
+use fault_soak::run::{Options, play};
+use fleet_emulator::clock::SECOND;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -32,7 +32,7 @@
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
     /// The router program.
-    #[arg(long, default_value = "target/release/whinhaven")]
+    #[arg(long, default_value = "target/release/llm-router")]
     router: PathBuf,
     /// The fault shim.
     #[arg(long, default_value = "target/release/libfault_shim.so")]
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/fault-soak/src/oracle/answers.rs
@@ -2,8 +2,8 @@
 
 use super::view::{Request, View};
 use super::{Findings, Promise, TOLERANCE};
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::ConnectionEnd;
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::ConnectionEnd;
 use std::collections::BTreeMap;
 
 /// A final answer that comes later than this after its time counts as lost.
--- a/crates/soak/src/oracle/attempts.rs
+++ b/crates/fault-soak/src/oracle/attempts.rs
@@ -3,8 +3,8 @@
 use super::view::{Attempt, Request, View, WorkerFacts};
 use super::{Findings, Promise, TOLERANCE};
 use crate::deployment::Deployment;
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::{Effect, Group, Role};
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::{Effect, Group, Role};
 
 /// An attempt may begin this much after its client closed.
 const LEAVE_GRACE: Micros = 100 * MILLISECOND;
--- a/crates/soak/src/oracle/caches.rs
+++ b/crates/fault-soak/src/oracle/caches.rs
@@ -3,7 +3,7 @@
 use super::view::{Attempt, Request, View};
 use super::{Findings, Promise, TOLERANCE};
 use crate::deployment::Deployment;
-use emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::clock::{MILLISECOND, Micros};
 
 /// What is held has this much more than the settings say.
 const SLACK: Micros = 300 * MILLISECOND;
--- a/crates/soak/src/oracle/clients.rs
+++ b/crates/fault-soak/src/oracle/clients.rs
@@ -2,8 +2,8 @@
 
 use super::view::View;
 use super::{Findings, Promise};
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::history::{Record, RouterIndex};
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::history::{Record, RouterIndex};
 use std::collections::HashMap;
 
 /// They are owed it within this.
--- a/crates/soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -3,8 +3,8 @@
 use super::view::View;
 use super::{Findings, Promise, TOLERANCE};
 use crate::deployment::Deployment;
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::{Record, RouterIndex, WorkerIndex};
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::{Record, RouterIndex, WorkerIndex};
 use std::collections::HashMap;
 
 /// Every time limit is longer by this.
--- a/crates/soak/src/oracle/mod.rs
+++ b/crates/fault-soak/src/oracle/mod.rs
@@ -15,8 +15,8 @@
 pub use view::View;
 
 use crate::deployment::Deployment;
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::{Entry, RequestName, RouterIndex};
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::{Entry, RequestName, RouterIndex};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/fault-soak/src/oracle/processes.rs
@@ -3,8 +3,8 @@
 use super::view::View;
 use super::{Findings, Promise};
 use crate::deployment::Deployment;
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::history::Record;
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::history::Record;
 
 /// A router that starts is ready within this.
 const READY_WITHIN: Micros = 10 * SECOND;
--- a/crates/soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -2,8 +2,8 @@
 
 use super::view::{Request, View};
 use super::{Findings, Promise};
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::RouterIndex;
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::RouterIndex;
 use std::collections::BTreeMap;
 
 /// Requests with less time than this may be refused at any time.
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/fault-soak/src/oracle/slow_start.rs
@@ -3,8 +3,8 @@
 use super::view::View;
 use super::{Findings, Promise};
 use crate::deployment::Deployment;
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::history::{Call, Record, Role, WorkerIndex};
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::history::{Call, Record, Role, WorkerIndex};
 use std::collections::HashMap;
 
 /// Warm workers are taken to be able to do so many times what they are sent.
--- a/crates/soak/src/oracle/view.rs
+++ b/crates/fault-soak/src/oracle/view.rs
@@ -1,7 +1,7 @@
 //! The records of a run, sorted by what they are about.
 
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::{
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::{
     Call, ConnectionEnd, ConnectionNumber, Effect, Entry, Record, RequestName, Role, RouterIndex, WorkerIndex,
 };
 use std::collections::{BTreeMap, HashMap};
--- a/crates/soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -2,8 +2,8 @@
 
 use crate::oracle::{Promise, Summary, Violation};
 use crate::run::Finished;
-use emulator::clock::{MILLISECOND, Micros};
-use emulator::history::{Entry, Record};
+use fleet_emulator::clock::{MILLISECOND, Micros};
+use fleet_emulator::history::{Entry, Record};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io;
--- a/crates/soak/src/router.rs
+++ b/crates/fault-soak/src/router.rs
@@ -1,8 +1,8 @@
 //! Router processes: start, signals, log and end.
 
-use emulator::clock::{self, Micros};
-use emulator::history::{History, Record, RouterIndex};
 use fault_plan::{CONTROL_VARIABLE, Control};
+use fleet_emulator::clock::{self, Micros};
+use fleet_emulator::history::{History, Record, RouterIndex};
 use rustix::process::{Pid, Signal, kill_process};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/soak/src/trouble.rs
+++ b/crates/fault-soak/src/trouble.rs
@@ -1,12 +1,12 @@
 //! What goes wrong in a run, and when.
 
 use crate::run::World;
-use emulator::agent::Health;
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::history::{Record, RouterIndex, WorkerIndex};
-use emulator::link::{LinkState, Reach};
-use emulator::worker::Misbehaviour;
 use fault_plan::Fault;
+use fleet_emulator::agent::Health;
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::history::{Record, RouterIndex, WorkerIndex};
+use fleet_emulator::link::{LinkState, Reach};
+use fleet_emulator::worker::Misbehaviour;
 use rand::Rng;
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom, IteratorRandom};
--- a/crates/soak/tests/oracle.rs
+++ b/crates/fault-soak/tests/oracle.rs
@@ -1,11 +1,11 @@
 //! The oracle on scripted histories: what keeps the promises passes, and each broken one is found.
 
-use emulator::clock::{MILLISECOND, Micros, SECOND};
-use emulator::history::{Call, ConnectionEnd, Effect, Entry, Record, Role};
+use fault_soak::deployment::Deployment;
+use fault_soak::oracle::{Promise, judge};
+use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
+use fleet_emulator::history::{Call, ConnectionEnd, Effect, Entry, Record, Role};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use soak::deployment::Deployment;
-use soak::oracle::{Promise, judge};
 
 const PREFILL: usize = 0;
 const DECODE: usize = 1;
--- a/crates/emulator/tests/worker.rs
+++ b/crates/fleet-emulator/tests/worker.rs
@@ -1,8 +1,8 @@
 //! What workers do with the KV caches of requests, over a connection in memory.
 
-use emulator::history::{History, Record, Role};
-use emulator::http::Reader;
-use emulator::worker::{Caches, Worker, WorkerSettings};
+use fleet_emulator::history::{History, Record, Role};
+use fleet_emulator::http::Reader;
+use fleet_emulator::worker::{Caches, Worker, WorkerSettings};
 use std::sync::Arc;
 use tokio::io::{AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,4 @@
-//! A toy fleet on loopback: a reader, a writer and a tool side, to try whinhaven with. See examples/README.md.
+//! A toy fleet on loopback: a reader, a writer and a tool side, to try the router with. See examples/README.md.
 
 use http_body_util::{BodyExt, Full, StreamBody};
 use hyper::body::{Bytes, Frame, Incoming};
--- a/src/bin/whinhaven-drill.rs
+++ b/src/bin/simulator-adapter.rs
@@ -3,10 +3,10 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match whinhaven::wire::serve(std::io::stdin().lock(), std::io::stdout().lock()) {
+    match llm_router::simulator::serve(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("whinhaven-drill: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Settings;
 use crate::net::discovery::{ListMessage, Listing};
-use crate::wire::read_settings;
+use crate::simulator::read_settings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/front/ledger.rs
+++ b/src/frontend/jsonrpc/ledger.rs
@@ -4,9 +4,9 @@
 //! stands before the first byte goes out and outlives the stream, the writer and the client's connection.
 
 use crate::config::ToolSettings;
-use crate::counters::Counters;
 use crate::interface::WorkerId;
-use crate::net::pool::{Pool, PoolLimits, REST, Target};
+use crate::net::upstream::pool::{Pool, PoolLimits, REST, Target};
+use crate::runtime::counters::Counters;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::Request;
@@ -102,7 +102,7 @@
 struct ToolResponse {
     jsonrpc: String,
     id: String,
-    #[serde(default, deserialize_with = "super::jsonrpc::present")]
+    #[serde(default, deserialize_with = "super::present")]
     result: Option<Box<RawValue>>,
     error: Option<Box<RawValue>>,
 }
--- a/src/front/jsonrpc.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -6,17 +6,19 @@
 //! stream goes on. When a stream breaks, the client's connection ends without its last chunk; the client comes
 //! again under the same lasting name and says how much it has.
 
-use super::ledger::{CallKey, Ledger, Outcome};
-use super::platform::{AnswerBody, refusal};
+pub mod ledger;
+
 use crate::config::ToolSettings;
-use crate::exchange::{Answer, Call, Feed, Frame, Presence};
+use crate::frontend::platform::{AnswerBody, refusal};
+use crate::frontend::service::{MAX_BODY_BYTES, Shared};
 use crate::interface::{Ask, RequestId};
-use crate::net::client_socket::ClientSocket;
-use crate::net::service::{MAX_BODY_BYTES, Shared};
+use crate::net::server::client_socket::ClientSocket;
 use crate::net::{Local, is_plain_id};
+use crate::runtime::exchange::{Answer, Call, Feed, Frame, Presence};
 use bytes::{Bytes, BytesMut};
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{HeaderMap, Response, StatusCode};
+use ledger::{CallKey, Ledger, Outcome};
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::value::RawValue;
 use std::cell::{Cell, RefCell};
@@ -226,7 +228,7 @@
 #[serde(untagged)]
 enum ToWriterError<'a> {
     Tool(&'a RawValue),
-    Own(&'a super::ledger::ToolError),
+    Own(&'a ledger::ToolError),
 }
 
 fn encode<T: Serialize>(message: &T) -> Vec<u8> {
--- a/src/front/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,5 +1,5 @@
 //! What clients speak: the platform's protocol, and JSON-RPC with tool calls relayed mid-stream.
 
 pub mod jsonrpc;
-pub mod ledger;
 pub mod platform;
+pub mod service;
--- a/src/front/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's protocol: headers into what the module is told, answers into responses.
 
-use crate::exchange::{Answer, Feed, Frame, Presence};
 use crate::interface::{Ask, Micros, RequestId};
 use crate::net::is_plain_id;
+use crate::runtime::exchange::{Answer, Feed, Frame, Presence};
 use bytes::Bytes;
 use hyper::body::{Body, Frame as BodyFrame, SizeHint};
 use hyper::header::{self, HeaderName};
--- a/src/net/service.rs
+++ b/src/frontend/service.rs
@@ -1,15 +1,15 @@
 //! What clients ask of the router: paths, bounds of bodies, and requests on their way to the core and back.
 
-use super::Local;
-use super::budget::{Budget, Held};
-use super::client_socket::ClientSocket;
-use super::server::Stage;
-use crate::core::CoreHandle;
-use crate::counters::Counters;
-use crate::exchange::Call;
-use crate::front::jsonrpc;
-use crate::front::platform::{self, AnswerBody, plain};
+use crate::frontend::jsonrpc;
+use crate::frontend::platform::{self, AnswerBody, plain};
 use crate::interface::Micros;
+use crate::net::Local;
+use crate::net::server::accept::Stage;
+use crate::net::server::budget::{Budget, Held};
+use crate::net::server::client_socket::ClientSocket;
+use crate::runtime::CoreHandle;
+use crate::runtime::counters::Counters;
+use crate::runtime::exchange::Call;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
--- a/src/haproxy.rs
+++ b/src/import/haproxy.rs
@@ -374,7 +374,7 @@
         let table = self.file(&front, &used, hosts);
         self.left_out.sort();
         let mut file =
-            String::from("# Imported from HAProxy's configuration. Start: whinhaven serve THIS-FILE\n");
+            String::from("# Imported from HAProxy's configuration. Start: llm-router serve THIS-FILE\n");
         for (line, what) in &self.left_out {
             let _ =
                 writeln!(file, "# line {line}, not carried over: {}", what.replace(char::is_control, " "));
--- /dev/null
+++ b/src/import/mod.rs
@@ -0,0 +1,3 @@
+//! Importers that write an operator's file from the configuration of another proxy.
+
+pub mod haproxy;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,16 @@
 //! A request router (conductor) in front of a language model that separate readers and writers serve.
 //!
-//! All routing decisions are in [`Policy`], which the simulator's adapter ([`wire`]) and the real conductor
-//! share. In the real conductor [`core`] drives it, the server and the client side of [`net`] meet in an
-//! [`exchange`] only, and [`front`] holds what clients speak.
+//! All routing decisions are in [`Policy`], which the simulator's adapter ([`simulator`]) and the real conductor
+//! share. In the real conductor [`runtime`] drives it, the server and the client side of [`net`] meet in an
+//! [`exchange`](runtime::exchange) only, and [`frontend`] holds what clients speak.
 //!
 //! [`Policy`] is a state machine without input or output of its own: the caller hands it events with the time,
 //! and carries out the actions that it appends. The same events always give the same actions. Settings, events
-//! and actions are in [`interface`]; [`wire`] speaks the simulator's wire.
+//! and actions are in [`interface`]; [`simulator`] speaks the simulator's wire.
 //!
 //! ```
-//! use whinhaven::Policy;
-//! use whinhaven::interface::*;
+//! use llm_router::Policy;
+//! use llm_router::interface::*;
 //!
 //! let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(200_000) };
 //! let settings = Settings {
@@ -54,17 +54,14 @@
 //! ```
 
 pub mod config;
-pub mod core;
-pub mod counters;
-pub mod exchange;
-pub mod front;
-pub mod haproxy;
+pub mod frontend;
+pub mod import;
 pub mod interface;
 pub mod logging;
 pub mod net;
 pub mod policy;
 pub mod rules;
-mod state;
-pub mod wire;
+pub mod runtime;
+pub mod simulator;
 
 pub use policy::Policy;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,19 @@
 //! The conductor's program: wiring, signals, log.
 
+use llm_router::config::{Config, ConfigError};
+use llm_router::frontend::jsonrpc::Front;
+use llm_router::frontend::service::{RequestService, Shared};
+use llm_router::interface::ListKind;
+use llm_router::logging::Log;
+use llm_router::net::discovery::{Directory, Follower, Pace, dial_tcp};
+use llm_router::net::server::accept::{Listener, RESERVED_CONNECTIONS, Stage};
+use llm_router::net::server::budget::Budget;
+use llm_router::net::server::connections::Connections;
+use llm_router::net::socket::listen;
+use llm_router::net::upstream::client::Hosts;
+use llm_router::net::upstream::pool::{Pool, PoolLimits, REST};
+use llm_router::runtime::counters::Counters;
+use llm_router::runtime::{Clock, Core, CoreHandle};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -7,20 +21,6 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Notify, watch};
-use whinhaven::config::{Config, ConfigError};
-use whinhaven::core::{Clock, Core, CoreHandle};
-use whinhaven::counters::Counters;
-use whinhaven::front::jsonrpc::Front;
-use whinhaven::interface::ListKind;
-use whinhaven::logging::Log;
-use whinhaven::net::budget::Budget;
-use whinhaven::net::client::Hosts;
-use whinhaven::net::connections::Connections;
-use whinhaven::net::discovery::{Directory, Follower, Pace, dial_tcp};
-use whinhaven::net::pool::{Pool, PoolLimits, REST};
-use whinhaven::net::server::{Listener, RESERVED_CONNECTIONS, Stage};
-use whinhaven::net::service::{RequestService, Shared};
-use whinhaven::net::socket::listen;
 
 /// After SIGTERM new connections keep coming for up to 0.4 s; they are accepted for longer than that.
 const ACCEPT_ON: Duration = Duration::from_millis(700);
@@ -32,9 +32,9 @@
 const SPARE_SOCKETS: usize = 24;
 
 const USAGE: &str =
-    "usage: whinhaven                      serve on the platform (NODE_CONFIG names the configuration)
-       whinhaven serve FILE           serve by an operator's file
-       whinhaven import haproxy FILE  write an operator's file from HAProxy's configuration";
+    "usage: llm-router                      serve on the platform (NODE_CONFIG names the configuration)
+       llm-router serve FILE           serve by an operator's file
+       llm-router import haproxy FILE  write an operator's file from HAProxy's configuration";
 
 fn main() -> ExitCode {
     let log = Log::start();
@@ -53,7 +53,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("whinhaven: {error}");
+            eprintln!("aspenyoke: {error}");
             ExitCode::FAILURE
         }
     }
@@ -65,7 +65,7 @@
 
 /// Writes the operator's file to standard output, and what could not be carried over to standard error.
 fn import(text: &str) -> Result<(), ConfigError> {
-    let import = whinhaven::haproxy::import(text).map_err(|e| ConfigError(e.to_string()))?;
+    let import = llm_router::import::haproxy::import(text).map_err(|e| ConfigError(e.to_string()))?;
     print!("{}", import.file);
     for (line, what) in import.left_out {
         eprintln!("line {line}, not carried over: {what}");
--- a/src/net/discovery.rs
+++ b/src/net/discovery/mod.rs
@@ -1,11 +1,11 @@
 //! Discovery: the list of model hosts and the watch of its changes. While discovery is silent the list stands.
 
-use super::Local;
-use super::socket::{Socket, connect};
-use crate::core::{CoreHandle, Input};
-use crate::counters::Counters;
 use crate::interface::{Entry, Kind, ListKind, Role, Settings, Status, WorkerId};
-use crate::state::unit;
+use crate::net::Local;
+use crate::net::socket::{Socket, connect};
+use crate::policy::state::unit;
+use crate::runtime::counters::Counters;
+use crate::runtime::{CoreHandle, Input};
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,19 +1,11 @@
-//! The conductor on sockets: tower services over hyper. [`server`] faces clients; [`client`], [`pool`] and
-//! [`discovery`] face model hosts and discovery. The two sides meet in an exchange only.
+//! The conductor on sockets: tower services over hyper. [`server`] faces clients, [`upstream`] and
+//! [`discovery`] face workers and the discovery agent. The two sides meet in an exchange only.
 
-pub mod budget;
-pub mod client;
-pub mod client_socket;
-pub mod connection;
-pub mod connections;
 pub mod discovery;
-pub mod events;
 pub mod failure;
-pub mod framing;
-pub mod pool;
 pub mod server;
-pub mod service;
 pub mod socket;
+pub mod upstream;
 
 use std::pin::Pin;
 
--- a/src/net/server.rs
+++ b/src/net/server/accept.rs
@@ -1,13 +1,13 @@
 //! The server side: accepts clients within its bounds, and passes answers on.
 
-use super::Local;
-use super::client_socket::ClientSocket;
-use super::connection::serve;
-use super::connections::Connections;
-use super::failure::{AcceptFailure, accept_failure};
-use super::service::{Arrival, RETRY_AFTER, RequestService};
-use crate::counters::Counters;
-use crate::front::platform::{self, AnswerBody};
+use crate::frontend::platform::{self, AnswerBody};
+use crate::frontend::service::{Arrival, RETRY_AFTER, RequestService};
+use crate::net::Local;
+use crate::net::failure::{AcceptFailure, accept_failure};
+use crate::net::server::client_socket::ClientSocket;
+use crate::net::server::connection::serve;
+use crate::net::server::connections::Connections;
+use crate::runtime::counters::Counters;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, HeaderValue};
--- a/src/net/server/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of what is private to `server`.
 
 use super::*;
-use crate::core::{Clock, CoreHandle};
-use crate::net::budget::Budget;
-use crate::net::service::Shared;
+use crate::frontend::service::Shared;
+use crate::net::server::budget::Budget;
+use crate::runtime::{Clock, CoreHandle};
 use rstest::rstest;
 use rustix::io::Errno;
 use std::collections::VecDeque;
--- a/src/net/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -4,11 +4,11 @@
 //! What comes behind stays in the system's buffer: where it can't be answered any more it was never read, and its
 //! client may send it again elsewhere.
 
-use super::failure::{TransferFailure, transfer_failure};
-use super::framing::Framing;
-use super::socket::{Socket, uninterrupted};
-use crate::exchange::ClientConnection;
+use crate::net::failure::{TransferFailure, transfer_failure};
+use crate::net::server::framing::Framing;
+use crate::net::socket::{Socket, uninterrupted};
 use crate::rules::close::{ConnectionFacts, Eviction, Phase};
+use crate::runtime::exchange::ClientConnection;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::net::{RecvFlags, recv};
 use std::cell::{Cell, RefCell};
--- a/src/net/connection.rs
+++ b/src/net/server/connection.rs
@@ -5,13 +5,13 @@
 //! if it was not read. A socket closed over unread bytes is reset, and what the client has not read is lost with it, so
 //! the client has some time to close first.
 
-use super::Local;
-use super::client_socket::{ClientSocket, GatedSocket};
-use super::server::{Answering, Stage};
-use super::service::MAX_BODY_BYTES;
-use super::socket::Socket;
-use crate::counters::Counters;
+use crate::frontend::service::MAX_BODY_BYTES;
+use crate::net::Local;
+use crate::net::server::accept::{Answering, Stage};
+use crate::net::server::client_socket::{ClientSocket, GatedSocket};
+use crate::net::socket::Socket;
 use crate::rules::close::{CloseReason, Eviction, Phase, close_due, is_at_rest, may_close};
+use crate::runtime::counters::Counters;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::{Request, Response};
--- a/src/net/connections.rs
+++ b/src/net/server/connections.rs
@@ -1,8 +1,8 @@
 //! The client connections that are open, and which of them go when places are short.
 
-use super::client_socket::ClientSocket;
-use crate::counters::Counters;
+use crate::net::server::client_socket::ClientSocket;
 use crate::rules::close::{Eviction, Phase};
+use crate::runtime::counters::Counters;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/net/client.rs
+++ b/src/net/upstream/client.rs
@@ -1,15 +1,15 @@
 //! The client side: carries out attempts at model hosts and the calls around them.
 
-use super::discovery::Directory;
-use super::events::{Events, Part};
-use super::pool::{ConnectError, Connection, Pool, Target, WriteGuard};
-use super::{Local, is_plain_id};
-use crate::core::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
-use crate::counters::Counters;
-use crate::exchange::{Call, ClientConnection, FeedSource, Frame, Reply, RequestState, feed};
 use crate::interface::{AttemptIndex, Micros, Outcome, Report, Reports, RequestId, WorkerId};
+use crate::net::discovery::Directory;
+use crate::net::upstream::events::{Events, Part};
+use crate::net::upstream::pool::{ConnectError, Connection, Pool, Target, WriteGuard};
+use crate::net::{Local, is_plain_id};
 use crate::rules::send::{AttemptFacts, Withheld, may_write};
-use crate::wire::read_report;
+use crate::runtime::counters::Counters;
+use crate::runtime::exchange::{Call, ClientConnection, FeedSource, Frame, Reply, RequestState, feed};
+use crate::runtime::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
+use crate::simulator::read_report;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
--- a/src/net/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -3,11 +3,11 @@
 //! The pool never sends anything again by itself, and it knows of every request whether its last byte was
 //! written: whether an attempt may have run hangs on that, and hyper doesn't tell.
 
-use super::Local;
-use super::failure::{ConnectFailure, connect_failure};
-use super::socket::{Socket, connect, uninterrupted};
-use crate::counters::Counters;
 use crate::interface::{Outcome, WorkerId};
+use crate::net::Local;
+use crate::net::failure::{ConnectFailure, connect_failure};
+use crate::net::socket::{Socket, connect, uninterrupted};
+use crate::runtime::counters::Counters;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/src/policy.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,12 @@
-//! The decisions. Settings, events and actions: `src/interface.rs`. What shaped them: `docs/incidents`.
+//! The decisions. Settings, events and actions: `src/interface/`. What shaped them: `docs/incidents`.
 //!
 //! Preble's E2 decides the ordinary path; everything else answers a trouble and says which.
 
+pub(crate) mod state;
+
 use crate::interface::*;
 use crate::rules::effect::{EarlierAttempt, is_refusal_harmless, repeat_before};
-use crate::state::*;
+use state::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/src/state.rs
+++ b/src/policy/state.rs
@@ -1,4 +1,4 @@
-//! Plain data that the decisions in `src/policy.rs` keep. No decision and no tuned value is made here.
+//! Plain data that the decisions in `src/policy/` keep. No decision and no tuned value is made here.
 
 use crate::interface::{Ask, Micros, Outcome, Report, Role, Status};
 use crate::interface::{RequestId, WorkerId};
--- a/src/core/handle.rs
+++ b/src/runtime/handle.rs
@@ -1,8 +1,8 @@
 //! The way in to the driver.
 
 use super::clock::Clock;
-use crate::exchange::{AnswerHandle, Call, Feed, ServerSide, open};
 use crate::interface::{Ask, AttemptIndex, Entry, ListKind, Outcome, Report, RequestId, WorkerId};
+use crate::runtime::exchange::{AnswerHandle, Call, Feed, ServerSide, open};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/src/core/mod.rs
+++ b/src/runtime/mod.rs
@@ -4,6 +4,8 @@
 //! how it went comes back as [`Input`]. Everything runs on one thread and in the order of one queue.
 
 mod clock;
+pub mod counters;
+pub mod exchange;
 mod handle;
 mod held;
 mod open_request;
@@ -13,13 +15,13 @@
 pub use handle::{CoreHandle, Input};
 pub use outbound::{Attempt, Outbound, Releasing};
 
-use crate::counters::Counters;
-use crate::exchange::{AnswerHandle, Call, Feed};
 use crate::interface::*;
 use crate::policy::Policy;
 use crate::rules::Rule;
 use crate::rules::effect::is_refusal_harmless;
 use crate::rules::send::may_attempt;
+use crate::runtime::counters::Counters;
+use crate::runtime::exchange::{AnswerHandle, Call, Feed};
 use held::HeldState;
 use open_request::{Open, Slot};
 use std::cell::Cell;
--- a/src/core/open_request.rs
+++ b/src/runtime/open_request.rs
@@ -2,9 +2,9 @@
 
 use super::held::HeldState;
 use super::outbound::Releasing;
-use crate::exchange::{AnswerHandle, Call, RequestState};
 use crate::interface::{Effect, Micros, Outcome, Settings, WorkerId};
 use crate::rules::send::RequestFacts;
+use crate::runtime::exchange::{AnswerHandle, Call, RequestState};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/src/core/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -1,7 +1,7 @@
 //! What the driver asks of the client side.
 
-use crate::exchange::{Call, RequestState};
 use crate::interface::{AttemptIndex, Micros, RequestId, WorkerId};
+use crate::runtime::exchange::{Call, RequestState};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot};
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,6 +2,8 @@
 
 mod support;
 
+use llm_router::net::server::accept::{RESERVED_CONNECTIONS, Stage};
+use llm_router::net::server::client_socket::{ClientSocket, GatedSocket};
 use rstest::rstest;
 use std::future::poll_fn;
 use std::io::Write;
@@ -14,8 +16,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
-use whinhaven::net::client_socket::{ClientSocket, GatedSocket};
-use whinhaven::net::server::{RESERVED_CONNECTIONS, Stage};
 
 /// How a connection comes to its end between two requests.
 #[derive(Clone, Copy)]
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -1,5 +1,8 @@
 //! Following discovery where the order of events matters: the test is the agent, one step at a time.
 
+use llm_router::interface::{ListKind, Settings, WorkerId};
+use llm_router::net::discovery::{Dial, Directory, Follower, Pace, Stream};
+use llm_router::runtime::{Clock, CoreHandle, Input};
 use rstest::rstest;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,9 +11,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{sleep, timeout};
-use whinhaven::core::{Clock, CoreHandle, Input};
-use whinhaven::interface::{ListKind, Settings, WorkerId};
-use whinhaven::net::discovery::{Dial, Directory, Follower, Pace, Stream};
 
 /// A change counts as told this long after discovery had it and could be reached.
 const TOLD_WITHIN: Duration = Duration::from_secs(6);
--- a/tests/core.rs
+++ b/tests/driver.rs
@@ -4,10 +4,10 @@
 mod driver;
 
 use driver::*;
+use llm_router::interface::*;
+use llm_router::runtime::exchange::Answer;
 use rstest::rstest;
 use tokio::sync::oneshot::error::TryRecvError;
-use whinhaven::exchange::Answer;
-use whinhaven::interface::*;
 
 /// Guards against an attempt that begins after its client has left, from a connection that comes up late, say: also
 /// where attempts may not be dropped. What has begun there goes on.
--- a/tests/core_held_state.rs
+++ b/tests/driver_held_cache.rs
@@ -5,13 +5,13 @@
 mod driver;
 
 use driver::*;
+use llm_router::interface::*;
+use llm_router::runtime::Input;
+use llm_router::runtime::exchange::feed;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
-use whinhaven::core::Input;
-use whinhaven::exchange::feed;
-use whinhaven::interface::*;
 
 /// The least time that an attempt has to arrive before its state is released, where it is sent within the limit.
 const ARRIVAL: Duration = Duration::from_millis(150);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -3,10 +3,10 @@
 #[path = "support/rig.rs"]
 mod rig;
 
+use llm_router::interface::*;
 use rig::*;
 use rstest::rstest;
 use std::sync::Arc;
-use whinhaven::interface::*;
 
 #[test]
 fn no_workers_at_all_still_gives_one_answer_in_time() {
--- a/tests/policy_admission.rs
+++ b/tests/policy_admission.rs
@@ -3,9 +3,9 @@
 #[path = "support/rig.rs"]
 mod rig;
 
+use llm_router::interface::*;
 use rig::*;
 use std::sync::Arc;
-use whinhaven::interface::*;
 
 #[test]
 fn reads_beyond_their_part_of_the_aim_wait_here_and_are_refused_in_time() {
--- a/tests/policy_cold_start.rs
+++ b/tests/policy_cold_start.rs
@@ -3,11 +3,11 @@
 #[path = "support/rig.rs"]
 mod rig;
 
+use llm_router::Policy;
+use llm_router::interface::*;
 use rig::*;
 use rstest::rstest;
 use std::sync::Arc;
-use whinhaven::Policy;
-use whinhaven::interface::*;
 
 #[test]
 fn a_cold_reader_gets_few_sends_even_when_peers_turn_all_away() {
--- a/tests/policy_placement.rs
+++ b/tests/policy_placement.rs
@@ -3,10 +3,10 @@
 #[path = "support/rig.rs"]
 mod rig;
 
+use llm_router::Policy;
+use llm_router::interface::*;
 use rig::*;
 use std::sync::Arc;
-use whinhaven::Policy;
-use whinhaven::interface::*;
 
 #[test]
 fn reads_then_writes_near_the_reader() {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -2,6 +2,7 @@
 
 mod support;
 
+use llm_router::net::server::accept::Stage;
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::sync::{Arc, Mutex, mpsc};
@@ -9,7 +10,6 @@
 use support::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use whinhaven::net::server::Stage;
 
 /// A writer that streams one answer, and waits between its events until it is told to go on.
 fn writer_that_waits(begun: mpsc::Sender<()>) -> (Peer, mpsc::Sender<()>) {
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -1,12 +1,12 @@
 //! The driver between a policy and a client side that only notes what it is asked.
 #![allow(dead_code)]
 
+use llm_router::interface::*;
+use llm_router::runtime::exchange::{Call, ServerSide};
+use llm_router::runtime::{Attempt, Clock, Core, CoreHandle, Input, Outbound, Releasing};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::oneshot::error::TryRecvError;
-use whinhaven::core::{Attempt, Clock, Core, CoreHandle, Input, Outbound, Releasing};
-use whinhaven::exchange::{Call, ServerSide};
-use whinhaven::interface::*;
 
 /// What the client side was asked.
 #[derive(Default)]
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -1,9 +1,9 @@
 //! A decision module under test: its fleet, its clock, and all that it has done.
 #![allow(dead_code)]
 
+use llm_router::Policy;
+use llm_router::interface::*;
 use std::sync::Arc;
-use whinhaven::Policy;
-use whinhaven::interface::*;
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,19 +1,19 @@
 //! The server side alone, in the process of the test: a listener with a core that the test plays itself.
 #![allow(dead_code)]
 
+use llm_router::frontend::service::{RequestService, Shared};
+use llm_router::interface::{Ask, RequestId};
+use llm_router::net::server::accept::{Listener, Stage};
+use llm_router::net::server::budget::Budget;
+use llm_router::net::server::connections::Connections;
+use llm_router::runtime::exchange::{AnswerHandle, Call};
+use llm_router::runtime::{Clock, CoreHandle, Input};
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::io::{ErrorKind, Read};
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
-use whinhaven::core::{Clock, CoreHandle, Input};
-use whinhaven::exchange::{AnswerHandle, Call};
-use whinhaven::interface::{Ask, RequestId};
-use whinhaven::net::budget::Budget;
-use whinhaven::net::connections::Connections;
-use whinhaven::net::server::{Listener, Stage};
-use whinhaven::net::service::{RequestService, Shared};
 
 /// A request that asks whether the router is ready.
 pub const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n";
