--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -4,12 +4,12 @@
 
 use bytes::Bytes;
 use llm_router::interface::*;
-use llm_router::net::discovery::{Directory, Listing};
-use llm_router::net::upstream::client::Hosts;
+use llm_router::net::discovery::{Directory, EndpointUpdate};
+use llm_router::net::upstream::client::UpstreamClient;
 use llm_router::net::upstream::pool::{Pool, PoolLimits};
 use llm_router::runtime::counters::Counters;
-use llm_router::runtime::exchange::{Call, ClientConnection, RequestState, open};
-use llm_router::runtime::{Attempt, Clock, CoreHandle, Input, Outbound, Releasing};
+use llm_router::runtime::exchange::{ClientConnection, ForwardedRequest, RequestState, open};
+use llm_router::runtime::{Attempt, Clock, DriverHandle, DriverInput, Outbound, ReleaseProgress};
 use rstest::rstest;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::cell::{Cell, RefCell};
@@ -31,40 +31,50 @@
 
 /// The client side with the workers it is told of.
 struct Client {
-    hosts: Hosts,
-    inputs: inputs::UnboundedReceiver<Input>,
+    hosts: UpstreamClient,
+    inputs: inputs::UnboundedReceiver<DriverInput>,
     cancel: Option<oneshot::Sender<()>>,
 }
 
 impl Client {
     fn start(workers: &[(&str, SocketAddr)], sockets: usize) -> Client {
-        let (core, inputs) = CoreHandle::channel(Clock::start());
+        let (driver, inputs) = DriverHandle::channel(Clock::start());
         let directory = Rc::<Directory>::default();
         let entry = |(worker, address): &(&str, SocketAddr)| {
-            let entry = Entry {
+            let entry = Endpoint {
                 worker: WorkerId((*worker).into()),
                 zone: String::new(),
                 kind: "answer".into(),
                 cell: 0,
-                status: Status::Ready,
+                status: WorkerStatus::Ready,
                 weight: 1.0,
-                started: None,
+                started_at: None,
             };
             (entry, Some(*address))
         };
-        directory.apply(&Listing { seq: 1, whole: true, entries: workers.iter().map(entry).collect() });
+        directory.apply(&EndpointUpdate {
+            seq: 1,
+            whole: true,
+            entries: workers.iter().map(entry).collect(),
+        });
         let counters = Rc::<Counters>::default();
         let time = Duration::from_secs(10);
         // Nothing rests for long enough while a test runs.
         let limits = PoolLimits { sockets, connect_timeout: time, keep: 2 * time, rest: time };
         let pool = Pool::new(limits, counters.clone());
-        let hosts =
-            Hosts { directory, pool, core, reports: Reports::None, counters, fetch_list: Rc::default() };
+        let hosts = UpstreamClient {
+            directory,
+            pool,
+            driver,
+            reports: LoadReporting::None,
+            counters,
+            poll_requested: Rc::default(),
+        };
         Client { hosts, inputs, cancel: None }
     }
 
     fn now(&self) -> Micros {
-        self.hosts.core.clock.now()
+        self.hosts.driver.clock.now()
     }
 
     fn attempt(&mut self, worker: &str, id: &str) -> Attempt {
@@ -75,8 +85,8 @@
             state: RequestState::default(),
             attempt: AttemptIndex(0),
             worker: WorkerId(worker.into()),
-            reads: true,
-            call: Rc::new(call(id)),
+            stage: Stage::Prefill,
+            forwarded: Rc::new(call(id)),
             until: self.now() + 10 * SECOND,
             begin_before: None,
             after: None,
@@ -93,21 +103,21 @@
     /// How the attempt that is out ends.
     async fn ended(&mut self) -> Outcome {
         loop {
-            if let Input::Ended { outcome, .. } = self.inputs.recv().await.unwrap() {
+            if let DriverInput::AttemptEnded { outcome, .. } = self.inputs.recv().await.unwrap() {
                 return outcome;
             }
         }
     }
 }
 
-fn call(id: &str) -> Call {
-    Call {
+fn call(id: &str) -> ForwardedRequest {
+    ForwardedRequest {
         id: id.into(),
         target: "/".into(),
         headers: Default::default(),
         body: "hello".into(),
         client: ClientConnection::default(),
-        keeps: None,
+        resources: None,
     }
 }
 
@@ -181,9 +191,9 @@
 
 /// Guards against a send that was right when it was decided.
 #[rstest]
-#[case(Meanwhile::Nothing, Outcome::Read)]
-#[case(Meanwhile::ItsRequestWasAnswered, Outcome::Dropped)]
-#[case(Meanwhile::TheClientLeft, Outcome::Dropped)]
+#[case(Meanwhile::Nothing, Outcome::PrefillCompleted)]
+#[case(Meanwhile::ItsRequestWasAnswered, Outcome::Cancelled)]
+#[case(Meanwhile::TheClientLeft, Outcome::Cancelled)]
 #[case(Meanwhile::TheRepeatWindowEnded, Outcome::NotSent)]
 #[case(Meanwhile::TheWorkerDrains, Outcome::NotSent)]
 #[tokio::test]
@@ -198,12 +208,12 @@
         match meanwhile {
             Meanwhile::TheClientLeft => {
                 let left = ClientConnection::new(Rc::new(|| true));
-                attempt.call = Rc::new(Call { client: left, ..call("id-1") });
+                attempt.forwarded = Rc::new(ForwardedRequest { client: left, ..call("id-1") });
             }
             Meanwhile::ItsRequestWasAnswered => {
                 let (_server, answer) = open(Rc::new(|| {}));
                 attempt.state = answer.request();
-                answer.refuse(None);
+                answer.reject(None);
             }
             Meanwhile::TheRepeatWindowEnded => attempt.begin_before = Some(client.now()),
             Meanwhile::TheWorkerDrains => {
@@ -218,7 +228,7 @@
         }
         assert_eq!(client.outcome(attempt).await, wanted);
         let sent = told.try_iter().count();
-        assert_eq!(sent, usize::from(wanted == Outcome::Read));
+        assert_eq!(sent, usize::from(wanted == Outcome::PrefillCompleted));
     })
     .await;
 }
@@ -226,7 +236,7 @@
 /// The same at the one place that decides, for what can't be forced on a socket.
 #[rstest]
 #[case(Meanwhile::Nothing, Ok(()))]
-#[case(Meanwhile::ItsTimePassed, Err(Outcome::NoConnection))]
+#[case(Meanwhile::ItsTimePassed, Err(Outcome::ConnectFailed))]
 #[case(Meanwhile::TheRepeatWindowEnded, Err(Outcome::NotSent))]
 #[tokio::test]
 async fn an_attempt_may_not_begin_too_late(
@@ -258,7 +268,7 @@
             look.set(true);
             false
         }));
-        attempt.call = Rc::new(Call { client: there, ..call("id-1") });
+        attempt.forwarded = Rc::new(ForwardedRequest { client: there, ..call("id-1") });
         client.hosts.send(attempt);
         // Has its turn between any two others.
         let watch = async move {
@@ -305,8 +315,8 @@
 /// Guards against a request that reaches its worker after it was given up: bytes that wait in the system are delivered
 /// later, also behind a close, and a worker begins with the last of them.
 #[rstest]
-#[case::its_client_left(None, Outcome::Dropped)]
-#[case::its_time_passed(Some(SECOND / 4), Outcome::NoAnswer)]
+#[case::its_client_left(None, Outcome::Cancelled)]
+#[case::its_time_passed(Some(SECOND / 4), Outcome::TimedOut)]
 #[tokio::test]
 async fn what_a_worker_has_not_taken_of_a_given_up_request_never_reaches_it(
     #[case] time: Option<Micros>,
@@ -316,7 +326,7 @@
         let worker = SlowWorker::start();
         let mut client = Client::start(&[(WORKER, worker.listener.local_addr().unwrap())], 4);
         let mut attempt = client.attempt(WORKER, "id-1");
-        attempt.call = Rc::new(Call { body: worker.body.clone(), ..call("id-1") });
+        attempt.forwarded = Rc::new(ForwardedRequest { body: worker.body.clone(), ..call("id-1") });
         attempt.until = client.now() + time.unwrap_or(10 * SECOND);
         let begun = attempt.begun.clone();
         client.hosts.send(attempt);
@@ -347,9 +357,9 @@
         let mut client = Client::start(&[(WORKER, peer.address)], 4);
         let mut attempt = client.attempt(WORKER, "id-1");
         let until = attempt.until;
-        let (releasing, decided) = (Rc::<Releasing>::default(), client.now());
+        let (releasing, decided) = (Rc::<ReleaseProgress>::default(), client.now());
         attempt.after = Some(releasing.clone());
-        assert_eq!(client.outcome(attempt).await, Outcome::Read);
+        assert_eq!(client.outcome(attempt).await, Outcome::PrefillCompleted);
         let message = told.recv().unwrap();
         let left: Micros = message.header("x-deadline").unwrap().trim_end_matches('u').parse().unwrap();
         // The release was never taken: all of the wait for it has passed.
@@ -364,10 +374,10 @@
     story(async {
         let full = FullQueue::start();
         let client = Client::start(&[(WORKER, full.address)], 1);
-        let (releasing, released) = (Rc::<Releasing>::default(), Rc::new(call("id-1")));
+        let (releasing, released) = (Rc::<ReleaseProgress>::default(), Rc::new(call("id-1")));
         client.hosts.release(released.clone(), releasing.clone());
         // Its call holds the only socket while it connects.
-        while client.hosts.counters.connections_out.get() == 0 {
+        while client.hosts.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         releasing.stop();
@@ -398,7 +408,7 @@
         let mut client = Client::start(&[(WORKER, peer.address)], 4);
         for id in ["id-1", "id-2", "id-3"] {
             let attempt = client.attempt(WORKER, id);
-            assert_eq!(client.outcome(attempt).await, Outcome::Read);
+            assert_eq!(client.outcome(attempt).await, Outcome::PrefillCompleted);
         }
         assert_eq!(told.try_iter().count(), 3);
     })
@@ -408,14 +418,19 @@
 /// Guards against an answer that is believed though it can't belong to the request: it is of the other stage. What a
 /// worker names it says nothing: the protocol leaves that to the worker.
 #[rstest]
-#[case::read_as_asked(true, "202 Accepted", "", Outcome::Read)]
-#[case::a_stream_of_a_reader(true, "200 OK", "", Outcome::Error)]
-#[case::no_stream_of_a_writer(false, "202 Accepted", "", Outcome::Error)]
-#[case::named_as_asked(true, "202 Accepted", "x-request-id: id-1\r\n", Outcome::Read)]
-#[case::named_by_the_worker(true, "202 Accepted", "x-request-id: id-0\r\n", Outcome::Read)]
+#[case::read_as_asked(Stage::Prefill, "202 Accepted", "", Outcome::PrefillCompleted)]
+#[case::a_stream_of_a_reader(Stage::Prefill, "200 OK", "", Outcome::WorkerError)]
+#[case::no_stream_of_a_writer(Stage::Decode, "202 Accepted", "", Outcome::WorkerError)]
+#[case::named_as_asked(Stage::Prefill, "202 Accepted", "x-request-id: id-1\r\n", Outcome::PrefillCompleted)]
+#[case::named_by_the_worker(
+    Stage::Prefill,
+    "202 Accepted",
+    "x-request-id: id-0\r\n",
+    Outcome::PrefillCompleted
+)]
 #[tokio::test]
 async fn an_answer_is_taken_for_what_was_asked_only(
-    #[case] reads: bool,
+    #[case] stage: Stage,
     #[case] status: &'static str,
     #[case] headers: &'static str,
     #[case] wanted: Outcome,
@@ -427,7 +442,7 @@
         });
         let mut client = Client::start(&[(WORKER, peer.address)], 4);
         let mut attempt = client.attempt(WORKER, "id-1");
-        attempt.reads = reads;
+        attempt.stage = stage;
         assert_eq!(client.outcome(attempt).await, wanted);
     })
     .await;
@@ -448,8 +463,8 @@
             early.borrow_mut().push(peer);
             false
         }));
-        attempt.call = Rc::new(Call { client: there, ..call("id-1") });
-        assert_eq!(client.outcome(attempt).await, Outcome::NoConnection);
+        attempt.forwarded = Rc::new(ForwardedRequest { client: there, ..call("id-1") });
+        assert_eq!(client.outcome(attempt).await, Outcome::ConnectFailed);
     })
     .await;
 }
@@ -463,11 +478,11 @@
         let attempt = client.attempt(WORKER, "id-1");
         let begun: Rc<Cell<bool>> = attempt.begun.clone();
         client.hosts.send(attempt);
-        while client.hosts.counters.connections_out.get() == 0 {
+        while client.hosts.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         client.cancel = None;
-        assert_eq!(client.ended().await, Outcome::Dropped);
+        assert_eq!(client.ended().await, Outcome::Cancelled);
         assert!(!begun.get() && client.hosts.pool.free_sockets() == 1);
     })
     .await;
@@ -494,9 +509,9 @@
         let mut client = Client::start(&[(WORKER, peer.address)], 4);
         let mut first = client.attempt(WORKER, "id-1");
         first.until = client.now() + SECOND / 4;
-        assert_eq!(client.outcome(first).await, Outcome::NoAnswer);
+        assert_eq!(client.outcome(first).await, Outcome::TimedOut);
         let second = client.attempt(WORKER, "id-2");
-        assert_eq!(client.outcome(second).await, Outcome::Read);
+        assert_eq!(client.outcome(second).await, Outcome::PrefillCompleted);
         go.send(()).unwrap();
         assert!(closes.recv().unwrap());
         assert!(client.inputs.try_recv().is_err(), "nothing more is heard of it");
@@ -525,9 +540,9 @@
                 tokio::task::yield_now().await;
             }
             client.hosts.pool.clear();
-            client.hosts.pool.hang_up(&WorkerId(WORKER.into()));
+            client.hosts.pool.close_idle_connections(&WorkerId(WORKER.into()));
             go.send(()).unwrap();
-            assert_eq!(client.ended().await, Outcome::Read);
+            assert_eq!(client.ended().await, Outcome::PrefillCompleted);
         }
         assert_eq!(told.try_iter().count(), 2);
     })
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -54,7 +54,7 @@
         assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
     }
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
-    assert_eq!(conductor.stop().get("taken"), 1);
+    assert_eq!(conductor.stop().get("requests_received"), 1);
     assert_eq!(told.try_iter().collect::<Vec<_>>(), ["id-1"]);
 }
 
@@ -75,7 +75,7 @@
     assert!(answer.status() == 0 || (400..500).contains(&answer.status()), "{}", answer.line);
     drop(client);
     assert!(!sent.join().unwrap(), "all of it was taken");
-    assert_eq!(conductor.stop().get("taken"), 0);
+    assert_eq!(conductor.stop().get("requests_received"), 0);
 }
 
 /// Many commands at once on one connection are answered one after another, each once.
@@ -90,7 +90,7 @@
     let sent = std::thread::spawn(move || sending.write_all(all.as_bytes()).unwrap());
     assert_eq!(statuses(&mut client, COMMANDS), [200; COMMANDS]);
     sent.join().unwrap();
-    assert_eq!(conductor.stop().get("ended_served"), COMMANDS as u64);
+    assert_eq!(conductor.stop().get("attempts_completed"), COMMANDS as u64);
     let wanted: Vec<String> = (0..COMMANDS).map(|i| format!("id-{i}")).collect();
     assert_eq!(told.try_iter().collect::<Vec<_>>(), wanted);
 }
@@ -187,7 +187,7 @@
     let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], ""));
     assert_eq!(conductor.raw(bytes.as_bytes()).status(), status);
     // What stands behind such a request, or in its body, may be answered with a 4xx of its own.
-    assert!((1..=2).contains(&conductor.stop().get("bad_requests")));
+    assert!((1..=2).contains(&conductor.stop().get("requests_malformed")));
     assert_eq!(told.try_iter().count(), 0);
 }
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use llm_router::net::server::accept::{RESERVED_CONNECTIONS, Stage};
+use llm_router::net::server::accept::{RESERVED_CONNECTIONS, ShutdownPhase};
 use llm_router::net::server::client_socket::{ClientSocket, GatedSocket};
 use rstest::rstest;
 use std::future::poll_fn;
@@ -42,7 +42,7 @@
         ask_health(&mut client).await;
         let mut other = None;
         match end {
-            End::Shutdown => server.stage.send(Stage::Closing).unwrap(),
+            End::Shutdown => server.stage.send(ShutdownPhase::Closing).unwrap(),
             End::Eviction => {
                 // Idle for long enough to make room for others.
                 tokio::time::sleep(Duration::from_millis(60)).await;
@@ -90,7 +90,7 @@
         client.write_all(b"GARBAGE\r\n\r\n").await.unwrap();
         // The server has every chance to look at what came.
         tokio::time::sleep(Duration::from_millis(50)).await;
-        taken.answer.refuse(None);
+        taken.answer.reject(None);
         let mut answers = String::new();
         client.read_to_string(&mut answers).await.unwrap();
         assert!(answers.starts_with("HTTP/1.1 503"), "{answers}");
@@ -181,7 +181,7 @@
         let (sent, at) = (Instant::now(), first.ask.deadline);
         client.write_all(request("id-2", "send", "hello").as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_secs(3)).await;
-        first.answer.refuse(None);
+        first.answer.reject(None);
         let second = server.taken().await;
         assert!(sent.elapsed() >= Duration::from_secs(3));
         // Both ask for eight seconds, and were sent at almost the same time.
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! Following discovery, on a paused clock and over pipes in memory: whatever fails, a change is known in time.
 
 use llm_router::interface::Settings;
-use llm_router::net::discovery::{Dial, Directory, Follower, Pace, Stream};
-use llm_router::runtime::{Clock, CoreHandle, Input};
+use llm_router::net::discovery::{Backoff, Dial, Directory, EndpointWatcher, Stream};
+use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
 use std::cell::Cell;
 use std::io;
@@ -106,19 +106,19 @@
 }
 
 struct Told {
-    core: mpsc::UnboundedReceiver<Input>,
+    driver: mpsc::UnboundedReceiver<DriverInput>,
 }
 
 impl Told {
     fn follow(agent: &Rc<Agent>, settings: &Settings, seed: u64) -> Told {
-        let (core, queue) = CoreHandle::channel(Clock::start());
-        let follower = Follower {
+        let (driver, queue) = DriverHandle::channel(Clock::start());
+        let follower = EndpointWatcher {
             directory: Rc::new(Directory::default()),
-            core,
-            hang_up: Box::new(|_| {}),
-            fetch_list: Rc::default(),
+            driver,
+            close_idle_connections: Box::new(|_| {}),
+            poll_requested: Rc::default(),
             dial: agent.clone().dial(),
-            pace: Pace::new(settings, seed),
+            pace: Backoff::new(settings, seed),
             agent_version: Cell::default(),
             counters: Rc::default(),
         };
@@ -127,27 +127,29 @@
             let _at = at;
             follower.follow(address).await;
         });
-        Told { core: queue }
+        Told { driver: queue }
     }
 
     /// Waits until the core has heard of the change.
     async fn change(&mut self) {
-        let news = |input: &Input| match input {
-            Input::List { entries, .. } => entries.iter().any(|e| *e.worker.0 == *"answer-9"),
+        let news = |input: &DriverInput| match input {
+            DriverInput::EndpointsUpdated { endpoints: entries, .. } => {
+                entries.iter().any(|e| *e.worker.0 == *"answer-9")
+            }
             _ => false,
         };
-        while !news(&self.core.recv().await.expect("the follower ended")) {}
+        while !news(&self.driver.recv().await.expect("the follower ended")) {}
     }
 }
 
-fn settings(list_on_request: bool) -> Settings {
-    Settings { list_on_request, routers: 300, ..Settings::default() }
+fn settings(watch_required: bool) -> Settings {
+    Settings { watch_required, replica_count: 300, ..Settings::default() }
 }
 
-async fn told_within(agent: Agent, list_on_request: bool, seed: u64) -> Duration {
+async fn told_within(agent: Agent, watch_required: bool, seed: u64) -> Duration {
     let (has, agent) = (agent.began + agent.has, Rc::new(agent));
     let whole = async {
-        let mut told = Told::follow(&agent, &settings(list_on_request), seed);
+        let mut told = Told::follow(&agent, &settings(watch_required), seed);
         timeout(Duration::from_secs(600), told.change()).await.expect("never told");
         Instant::now().saturating_duration_since(has)
     };
@@ -159,11 +161,11 @@
 /// Guards against a watch that is waited for longer than what it misses may take.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn what_a_watch_fallen_silent_misses_is_known_in_time(#[values(false, true)] list_on_request: bool) {
+async fn what_a_watch_fallen_silent_misses_is_known_in_time(#[values(false, true)] watch_required: bool) {
     for seed in 0..20 {
         let silent = Duration::from_millis(7_000 + 97 * seed);
         let agent = Agent { silent: Some(silent), ..Agent::new(silent, |_| AT_ONCE) };
-        let after = told_within(agent, list_on_request, seed).await;
+        let after = told_within(agent, watch_required, seed).await;
         assert!(after <= TOLD_WITHIN, "{after:?}, seed {seed}");
     }
 }
@@ -173,13 +175,13 @@
 #[tokio::test(start_paused = true)]
 async fn after_an_outage_a_change_is_known_in_time(
     #[values(Meets::Refused, Meets::Unanswered, Meets::With503)] meets: Meets,
-    #[values(false, true)] list_on_request: bool,
+    #[values(false, true)] watch_required: bool,
     #[values(3, 8, 45)] seconds: u64,
 ) {
     for seed in 0..10 {
         let back = Duration::from_millis(seconds * 1_000 + 131 * seed);
         let agent = Agent::new(back, move |at| if at < back { meets } else { AT_ONCE });
-        let after = told_within(agent, list_on_request, seed).await;
+        let after = told_within(agent, watch_required, seed).await;
         assert!(after <= TOLD_WITHIN, "{after:?}, seed {seed}");
     }
 }
@@ -225,7 +227,7 @@
 /// Guards against conductors that keep a shared discovery busy with the calls that it has just failed them.
 #[test]
 fn conductors_that_fail_together_spread_their_next_calls() {
-    let settings = |list_on_request| Settings { routers: 100, list_on_request, ..Settings::default() };
+    let settings = |watch_required| Settings { replica_count: 100, watch_required, ..Settings::default() };
     let [answered, given_up, silent] = [0, 2_250, 3_000].map(Duration::from_millis);
     let most = [
         (0, answered, 3.75),
@@ -237,14 +239,14 @@
     for (failures, silent, longest) in most {
         let mut calls = [0; 10];
         for conductor in 0..100 {
-            let pause = Pace::new(&settings(true), conductor).pause(failures, silent).as_secs_f64();
+            let pause = Backoff::new(&settings(true), conductor).pause(failures, silent).as_secs_f64();
             calls[(pause / longest * 10.0) as usize] += 1;
         }
         assert!(calls.iter().all(|n| (2..=20).contains(n)), "after {failures} failures: {calls:?}");
     }
     // An agent that is asked for nothing but its own list is asked again soon.
     let soon =
-        |conductor| Pace::new(&settings(false), conductor).pause(40, answered) < Duration::from_secs(1);
+        |conductor| Backoff::new(&settings(false), conductor).pause(40, answered) < Duration::from_secs(1);
     assert!((0..100).all(soon));
 }
 
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -1,8 +1,8 @@
 //! Following discovery where the order of events matters: the test is the agent, one step at a time.
 
-use llm_router::interface::{ListKind, Settings, WorkerId};
-use llm_router::net::discovery::{Dial, Directory, Follower, Pace, Stream};
-use llm_router::runtime::{Clock, CoreHandle, Input};
+use llm_router::interface::{Settings, UpdateKind, WorkerId};
+use llm_router::net::discovery::{Backoff, Dial, Directory, EndpointWatcher, Stream};
+use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -72,9 +72,9 @@
 /// A conductor's follower, and everything round it.
 struct Following {
     calls: mpsc::UnboundedReceiver<Call>,
-    core: mpsc::UnboundedReceiver<Input>,
+    driver: mpsc::UnboundedReceiver<DriverInput>,
     directory: Rc<Directory>,
-    fetch_list: Rc<Notify>,
+    poll_requested: Rc<Notify>,
     address: watch::Sender<Option<SocketAddr>>,
     /// Whether connections come up.
     connects: Rc<Cell<bool>>,
@@ -82,9 +82,9 @@
 
 impl Following {
     fn start() -> Following {
-        let (core, queue) = CoreHandle::channel(Clock::start());
+        let (driver, queue) = DriverHandle::channel(Clock::start());
         let (called, calls) = mpsc::unbounded_channel();
-        let (directory, fetch_list) = (Rc::<Directory>::default(), Rc::<Notify>::default());
+        let (directory, poll_requested) = (Rc::<Directory>::default(), Rc::<Notify>::default());
         let connects = Rc::new(Cell::new(true));
         let comes_up = connects.clone();
         let dial: Dial = Rc::new(move |to| {
@@ -98,19 +98,19 @@
                 Ok(Box::new(ours) as Box<dyn Stream>)
             })
         });
-        let follower = Follower {
+        let follower = EndpointWatcher {
             directory: directory.clone(),
-            core,
-            hang_up: Box::new(|_| {}),
-            fetch_list: fetch_list.clone(),
+            driver,
+            close_idle_connections: Box::new(|_| {}),
+            poll_requested: poll_requested.clone(),
             dial,
-            pace: Pace::new(&Settings { routers: 3, ..Settings::default() }, 1),
+            pace: Backoff::new(&Settings { replica_count: 3, ..Settings::default() }, 1),
             agent_version: Cell::default(),
             counters: Rc::default(),
         };
         let (address, addresses) = watch::channel(Some(address(OLD_AGENT)));
         tokio::task::spawn_local(follower.follow(addresses));
-        Following { calls, core: queue, directory, fetch_list, address, connects }
+        Following { calls, driver: queue, directory, poll_requested, address, connects }
     }
 
     async fn call(&mut self) -> Call {
@@ -128,11 +128,12 @@
     }
 
     /// The next list or change that the core hears of: its kind and workers.
-    async fn news(&mut self) -> (ListKind, Vec<String>) {
+    async fn news(&mut self) -> (UpdateKind, Vec<String>) {
         let heard = async {
             loop {
-                if let Some(Input::List { kind, entries }) = self.core.recv().await
-                    && kind != ListKind::Failed
+                if let Some(DriverInput::EndpointsUpdated { kind, endpoints: entries }) =
+                    self.driver.recv().await
+                    && kind != UpdateKind::Unavailable
                 {
                     return (
                         kind,
@@ -164,7 +165,7 @@
         let mut following = Following::start();
         let all = [entry("a", "ready"), entry("b", "ready")];
         let mut watch = following.watch_with(&whole_list(5, &all)).await;
-        following.fetch_list.notify_one();
+        following.poll_requested.notify_one();
         let mut beside = following.call().await;
         assert_eq!(beside.asked().await, "GET /v1/servers HTTP/1.1");
         // The answer is on its way when the drain is told.
@@ -173,7 +174,7 @@
         beside.answer(&whole_list(6, &all)).await;
         watch.tell(&change(6, &[entry("a", "ready")])).await;
         watch.tell(&change(8, &[entry("c", "ready")])).await;
-        assert_eq!(following.news().await, (ListKind::Changes, vec!["c Ready".into()]));
+        assert_eq!(following.news().await, (UpdateKind::Delta, vec!["c Ready".into()]));
         assert!(!following.is_ready("a") && following.is_ready("b") && following.is_ready("c"));
     })
     .await;
@@ -208,7 +209,7 @@
         let mut watch = following.watch_with(&whole_list(5, &[entry("a", "ready")])).await;
         watch.tell(&whole_list(6, &[])).await;
         watch.tell(&change(7, &[entry("b", "ready")])).await;
-        assert_eq!(following.news().await, (ListKind::Changes, vec!["b Ready".into()]));
+        assert_eq!(following.news().await, (UpdateKind::Delta, vec!["b Ready".into()]));
         assert!(following.is_ready("a") && following.is_ready("b"));
     })
     .await;
@@ -294,9 +295,10 @@
             During::Pause => {
                 // Closed without an answer: the follower pauses before it asks again.
                 drop(following.call().await);
-                while !matches!(following.core.recv().await, Some(Input::List { kind: ListKind::Failed, .. }))
-                {
-                }
+                while !matches!(
+                    following.driver.recv().await,
+                    Some(DriverInput::EndpointsUpdated { kind: UpdateKind::Unavailable, .. })
+                ) {}
             }
         }
         tokio::task::yield_now().await;
@@ -309,7 +311,7 @@
         let mut call = timeout(Duration::from_millis(50), following.call()).await.expect("not at once");
         assert_eq!((call.to, call.asked().await), (address(NEW_AGENT), "GET /v1/servers HTTP/1.1".into()));
         call.answer(&whole_list(2, &[entry("new", "ready")])).await;
-        assert_eq!(following.news().await, (ListKind::Full, vec!["new Ready".into()]));
+        assert_eq!(following.news().await, (UpdateKind::Snapshot, vec!["new Ready".into()]));
         assert!(following.is_ready("new") && !following.is_ready("old") && !following.is_ready("a"));
     })
     .await;
@@ -331,7 +333,10 @@
         let mut call = following.call().await;
         call.asked().await;
         call.answer(&whole_list(4, &all)).await;
-        assert_eq!(following.news().await, (ListKind::Full, vec!["a Draining".into(), "b Ready".into()]));
+        assert_eq!(
+            following.news().await,
+            (UpdateKind::Snapshot, vec!["a Draining".into(), "b Ready".into()])
+        );
         assert!(!following.is_ready("a") && following.is_ready("b"));
         // What the new agent says of it from then on counts.
         let mut watch = following.call().await;
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -5,7 +5,7 @@
 
 use driver::*;
 use llm_router::interface::*;
-use llm_router::runtime::exchange::Answer;
+use llm_router::runtime::exchange::FinalResponse;
 use rstest::rstest;
 use tokio::sync::oneshot::error::TryRecvError;
 
@@ -17,8 +17,8 @@
 #[tokio::test]
 async fn when_the_client_leaves_an_attempt(#[case] begun: bool, #[case] wanted: TryRecvError) {
     let story = async {
-        let driver = Driver::start(settings(), 600_000_000).await;
-        let Driver { notes, client, handle: _handle } = driver;
+        let driver = DriverHarness::start(settings(), 600_000_000).await;
+        let DriverHarness { notes, client, handle: _handle } = driver;
         notes.attempts.borrow()[0].begun.set(begun);
         drop(client);
         settle().await;
@@ -35,14 +35,14 @@
 #[case::of_the_module(60_000_000)]
 #[case::of_the_guard(0)]
 #[tokio::test(start_paused = true)]
-async fn the_final_answer_ends_an_attempt_that_has_not_begun(#[case] answer_slack: Micros) {
+async fn the_final_answer_ends_an_attempt_that_has_not_begun(#[case] answer_grace: Micros) {
     let story = async {
-        let driver = Driver::start(Settings { answer_slack, ..settings() }, 1_000_000).await;
+        let driver = DriverHarness::start(Settings { answer_grace, ..settings() }, 1_000_000).await;
         assert_eq!(driver.cancelled(), TryRecvError::Empty);
         let state = driver.notes.attempts.borrow()[0].state.clone();
         assert!(state.is_open());
-        let Driver { notes, client, handle: _handle } = driver;
-        assert!(matches!(client.answer().await.0, Answer::Refused { .. }));
+        let DriverHarness { notes, client, handle: _handle } = driver;
+        assert!(matches!(client.answer().await.0, FinalResponse::Rejected { .. }));
         assert!(!state.is_open());
         settle().await;
         assert_eq!(notes.attempts.borrow_mut()[0].cancelled.try_recv(), Err(TryRecvError::Closed));
@@ -56,15 +56,16 @@
     const REQUESTS: usize = 500;
     const ANSWER_SLACK: Micros = 16_000;
     let story = async {
-        let driver = Driver::start(Settings { answer_slack: ANSWER_SLACK, ..settings() }, 600_000_000).await;
+        let driver =
+            DriverHarness::start(Settings { answer_grace: ANSWER_SLACK, ..settings() }, 600_000_000).await;
         let handle = driver.handle.clone();
         let deadline = handle.clock.now() + 2_000_000;
         let mut waiting = Vec::new();
         for _ in 0..REQUESTS {
-            let (client, clock) = (handle.ask(ask(deadline), call()), handle.clock);
+            let (client, clock) = (handle.submit_request(ask(deadline), call()), handle.clock);
             waiting.push(tokio::task::spawn_local(async move {
                 let (answer, _presence) = client.answer().await;
-                (matches!(answer, Answer::Refused { .. }), clock.now())
+                (matches!(answer, FinalResponse::Rejected { .. }), clock.now())
             }));
         }
         for client in waiting {
--- a/tests/driver_held_cache.rs
+++ b/tests/driver_held_cache.rs
@@ -6,8 +6,8 @@
 
 use driver::*;
 use llm_router::interface::*;
-use llm_router::runtime::Input;
-use llm_router::runtime::exchange::feed;
+use llm_router::runtime::DriverInput;
+use llm_router::runtime::exchange::response_stream;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::task::LocalSet;
@@ -16,21 +16,27 @@
 /// The least time that an attempt has to arrive before its state is released, where it is sent within the limit.
 const ARRIVAL: Duration = Duration::from_millis(150);
 
-fn ended(attempt: u32, outcome: Outcome) -> Input {
-    Input::Ended { request: RequestId(1), attempt: AttemptIndex(attempt), outcome, kept: 0, report: None }
+fn ended(attempt: u32, outcome: Outcome) -> DriverInput {
+    DriverInput::AttemptEnded {
+        request: RequestId(1),
+        attempt: AttemptIndex(attempt),
+        outcome,
+        cached_tokens: 0,
+        report: None,
+    }
 }
 
-impl Driver {
+impl DriverHarness {
     /// A driver with a request whose prompt was read just now, and which a decode worker was sent.
-    async fn sent_to_decode() -> Driver {
-        let driver = Driver::start(settings(), 600_000_000).await;
-        driver.end(0, Outcome::Read).await;
+    async fn sent_to_decode() -> DriverHarness {
+        let driver = DriverHarness::start(settings(), 600_000_000).await;
+        driver.end(0, Outcome::PrefillCompleted).await;
         assert_eq!(driver.attempts(), 2);
         driver
     }
 
     async fn end(&self, attempt: u32, outcome: Outcome) {
-        self.handle.tell(ended(attempt, outcome));
+        self.handle.submit(ended(attempt, outcome));
         settle().await;
     }
 
@@ -51,7 +57,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_send_that_is_not_answered_does_not_hold_a_state_past_its_limit() {
     let story = async {
-        let driver = Driver::sent_to_decode().await;
+        let driver = DriverHarness::sent_to_decode().await;
         milliseconds(640).await;
         assert_eq!(driver.releases(), 0);
         milliseconds(20).await;
@@ -65,10 +71,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_stream_that_has_begun_has_taken_its_state() {
     let story = async {
-        let driver = Driver::sent_to_decode().await;
+        let driver = DriverHarness::sent_to_decode().await;
         milliseconds(100).await;
-        let (_source, feed) = feed(None);
-        driver.handle.tell(Input::First { request: RequestId(1), attempt: AttemptIndex(1), feed });
+        let (_source, feed) = response_stream(None);
+        driver.handle.submit(DriverInput::StreamStarted {
+            request: RequestId(1),
+            attempt: AttemptIndex(1),
+            stream: feed,
+        });
         milliseconds(2_000).await;
         assert_eq!(driver.releases(), 0);
     };
@@ -77,12 +87,12 @@
 
 /// Guards against limits that began anew with each attempt that may have reached nobody.
 #[rstest]
-#[case::that_timed_out(Outcome::NoAnswer)]
+#[case::that_timed_out(Outcome::TimedOut)]
 #[case::that_broke(Outcome::ConnectionLost)]
 #[tokio::test(start_paused = true)]
 async fn the_limit_is_not_renewed_by_an_attempt(#[case] outcome: Outcome) {
     let story = async {
-        let driver = Driver::sent_to_decode().await;
+        let driver = DriverHarness::sent_to_decode().await;
         milliseconds(300).await;
         driver.end(1, outcome).await;
         milliseconds(360).await;
@@ -95,9 +105,9 @@
 #[tokio::test(start_paused = true)]
 async fn the_limit_is_renewed_by_an_answer() {
     let story = async {
-        let driver = Driver::sent_to_decode().await;
+        let driver = DriverHarness::sent_to_decode().await;
         milliseconds(300).await;
-        driver.end(1, Outcome::TurnedAway).await;
+        driver.end(1, Outcome::Rejected).await;
         milliseconds(600).await;
         assert_eq!(driver.releases(), 0);
         milliseconds(100).await;
@@ -110,9 +120,9 @@
 #[tokio::test(start_paused = true)]
 async fn an_attempt_just_sent_has_time_to_arrive() {
     let story = async {
-        let driver = Driver::sent_to_decode().await;
+        let driver = DriverHarness::sent_to_decode().await;
         milliseconds(450).await;
-        driver.end(1, Outcome::NoAnswer).await;
+        driver.end(1, Outcome::TimedOut).await;
         assert_eq!(driver.attempts(), 3);
         sleep(ARRIVAL - Duration::from_millis(10)).await;
         assert_eq!(driver.releases(), 0);
@@ -126,10 +136,10 @@
 #[tokio::test(start_paused = true)]
 async fn behind_a_release_the_limit_begins_anew() {
     let story = async {
-        let driver = Driver::sent_to_decode().await;
+        let driver = DriverHarness::sent_to_decode().await;
         milliseconds(660).await;
         assert_eq!(driver.releases(), 1);
-        driver.end(1, Outcome::NoAnswer).await;
+        driver.end(1, Outcome::TimedOut).await;
         assert_eq!(driver.attempts(), 3);
         milliseconds(640).await;
         assert_eq!(driver.releases(), 1);
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -21,5 +21,5 @@
         assert_eq!(conductor.ask(&format!("id-{number}"), "send").status(), 200);
     }
     drop(unread);
-    assert_eq!(conductor.stop().get("ended_served"), REQUESTS as u64);
+    assert_eq!(conductor.stop().get("attempts_completed"), REQUESTS as u64);
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -104,7 +104,7 @@
     drop(held);
     assert!(Message::read(&mut BufReader::new(client)).unwrap().whole);
     let counters = conductor.stop();
-    assert_eq!(["reloads", "reloads_failed", "taken"].map(|c| counters.get(c)), [1, 1, 2]);
+    assert_eq!(["reloads", "reloads_failed", "requests_received"].map(|c| counters.get(c)), [1, 1, 2]);
 }
 
 /// Guards against clients that fill the descriptors while discovery is down, some before and some after an answer: the
@@ -215,6 +215,6 @@
     let more = format!("discovery = \"{}\"", discovery.address);
     let conductor = Conductor::start(&operator_file(&[old.address], &[writer.address], &more));
     assert_eq!(conductor.ask("id-1", "send").status(), 200);
-    assert_eq!(conductor.stop().get("held_back"), 1);
+    assert_eq!(conductor.stop().get("attempts_withheld"), 1);
     assert_eq!(told.try_iter().filter(|l| l.starts_with("POST")).count(), 1);
 }
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -24,7 +24,14 @@
         "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"},\"finish_reason\":null}]}\n\n";
     assert!(answer.whole && answer.text().starts_with(wanted) && answer.text().ends_with("data: [DONE]\n\n"));
     let counters = conductor.stop();
-    let counts = ["taken", "sent", "ended_read", "ended_served", "answered_stream", "clients_left"];
+    let counts = [
+        "requests_received",
+        "attempts_sent",
+        "attempts_prefill_completed",
+        "attempts_completed",
+        "responses_streamed",
+        "client_disconnects",
+    ];
     assert_eq!(counts.map(|c| counters.get(c)), [1, 2, 1, 1, 1, 0]);
 }
 
@@ -78,7 +85,7 @@
     for i in 0..10 {
         assert_eq!(conductor.ask(&format!("id-{i}"), "send").status(), 200, "request {i}");
         // Kept connections are used again once they have rested.
-        std::thread::sleep(2 * llm_router::net::upstream::pool::REST);
+        std::thread::sleep(2 * llm_router::net::upstream::pool::TRAILING_BYTES_WAIT);
     }
     assert_eq!(conductor.stop().get("stale_connections"), 1);
 }
@@ -154,7 +161,7 @@
     drop(held);
     assert!(Message::read(&mut client).unwrap().whole);
     while conductor.ask("id-1", "send").status() == 409 {}
-    assert_eq!(conductor.stop().get("taken"), 2);
+    assert_eq!(conductor.stop().get("requests_received"), 2);
 }
 
 #[test]
@@ -196,7 +203,7 @@
     let answer = Message::read(&mut client).unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")));
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
-    assert_eq!(conductor.stop().get("clients_left"), 1);
+    assert_eq!(conductor.stop().get("client_disconnects"), 1);
     assert_eq!(lines.try_iter().filter(|line| line.starts_with("POST")).count(), 1);
 }
 
@@ -219,7 +226,10 @@
     client.shutdown(Shutdown::Both).unwrap();
     assert_eq!(closes.recv().unwrap(), "true");
     let counters = conductor.stop();
-    assert_eq!(["taken", "sent", "clients_left"].map(|c| counters.get(c)), [1, 1, 1]);
+    assert_eq!(
+        ["requests_received", "attempts_sent", "client_disconnects"].map(|c| counters.get(c)),
+        [1, 1, 1]
+    );
     assert_eq!(lines.try_iter().filter(|l| l.starts_with("POST")).count(), 1);
 }
 
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use llm_router::net::server::accept::Stage;
+use llm_router::net::server::accept::ShutdownPhase;
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::sync::{Arc, Mutex, mpsc};
@@ -54,7 +54,7 @@
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     assert!(answer.header("retry-after").is_some());
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
-    assert_eq!(Counters(conductor.wait_for("stopped")).get("refused_at_shutdown"), 1);
+    assert_eq!(Counters(conductor.wait_for("stopped")).get("rejected_at_shutdown"), 1);
     drop(conductor);
     assert_eq!(messages.try_iter().count(), 0);
 }
@@ -82,7 +82,7 @@
     }
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     drop(client);
-    assert_eq!(Counters(conductor.wait_for("stopped")).get("taken"), 0);
+    assert_eq!(Counters(conductor.wait_for("stopped")).get("requests_received"), 0);
     drop(conductor);
     assert_eq!(messages.try_iter().count(), 0);
 }
@@ -105,7 +105,7 @@
     assert_eq!((answers[0].status(), answers[0].whole), (200, true));
     assert_eq!((answers[1].status(), answers[1].header("connection")), (503, Some("close")));
     let counters = Counters(conductor.wait_for("stopped"));
-    assert_eq!(["ended_served", "taken"].map(|name| counters.get(name)), [1, 1]);
+    assert_eq!(["attempts_completed", "requests_received"].map(|name| counters.get(name)), [1, 1]);
 }
 
 /// Guards against a second signal that ends the process over what is in hand.
@@ -125,7 +125,7 @@
     conductor.signal("-INT");
     go.send(()).unwrap();
     assert!(Message::read(&mut client).unwrap().whole);
-    assert_eq!(Counters(conductor.wait_for("stopped")).get("ended_served"), 1);
+    assert_eq!(Counters(conductor.wait_for("stopped")).get("attempts_completed"), 1);
 }
 
 /// Guards against the last part of a finished stream lost with the end of the process: its client reads slowly.
@@ -203,7 +203,7 @@
             clients.push(client);
         }
         // They wait in the queue: nothing has been accepted yet.
-        server.stage.send(Stage::Closing).unwrap();
+        server.stage.send(ShutdownPhase::Closing).unwrap();
         server.accepting.accept(server.listener).await;
         for client in &mut clients {
             let answer = whole_answer(client).await;
@@ -226,7 +226,7 @@
         // In one step: the server learns of the stage before it can learn of the bytes.
         let mut blocking = client.into_std().unwrap();
         blocking.set_nonblocking(false).unwrap();
-        stage.send(Stage::Closing).unwrap();
+        stage.send(ShutdownPhase::Closing).unwrap();
         blocking.write_all(HEALTH).unwrap();
         blocking.set_nonblocking(true).unwrap();
         let mut client = TcpStream::from_std(blocking).unwrap();
@@ -271,7 +271,7 @@
     // The conductor has begun to answer, too.
     client.fill_buf().unwrap();
     conductor.signal("-USR1");
-    assert_eq!(Counters(conductor.wait_for("counters:")).get("answered_stream"), 1);
+    assert_eq!(Counters(conductor.wait_for("counters:")).get("responses_streamed"), 1);
     conductor.signal("-TERM");
     conductor.wait_for("stopping");
     assert!(conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("503"));
@@ -280,5 +280,5 @@
     drop(held);
     assert!(Message::read(&mut client).unwrap().whole);
     let line = conductor.wait_for("stopped");
-    assert_eq!(Counters(line).get("ended_served"), 1);
+    assert_eq!(Counters(line).get("attempts_completed"), 1);
 }
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use llm_router::interface::*;
-use llm_router::runtime::exchange::{Call, ServerSide};
-use llm_router::runtime::{Attempt, Clock, Core, CoreHandle, Input, Outbound, Releasing};
+use llm_router::runtime::exchange::{ForwardedRequest, PendingResponse};
+use llm_router::runtime::{Attempt, Clock, Driver, DriverHandle, DriverInput, Outbound, ReleaseProgress};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::oneshot::error::TryRecvError;
@@ -13,65 +13,68 @@
 pub struct Notes {
     pub attempts: RefCell<Vec<Attempt>>,
     /// Releases.
-    pub releases: RefCell<Vec<Rc<Releasing>>>,
+    pub releases: RefCell<Vec<Rc<ReleaseProgress>>>,
 }
 
 impl Outbound for Notes {
     fn send(&self, attempt: Attempt) {
         self.attempts.borrow_mut().push(attempt);
     }
-    fn release(&self, _: Rc<Call>, releasing: Rc<Releasing>) {
+    fn release(&self, _: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>) {
         self.releases.borrow_mut().push(releasing);
     }
-    fn hold(&self, _: RequestId, _: Rc<Call>, _: WorkerId) {}
+    fn hold(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
     fn probe(&self, _: WorkerId) {}
-    fn hang_up(&self, _: &WorkerId) {}
-    fn fetch_list(&self) {}
+    fn close_idle_connections(&self, _: &WorkerId) {}
+    fn poll_endpoints(&self) {}
 }
 
 pub fn settings() -> Settings {
-    let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: None };
+    let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: None };
     Settings {
-        routers: 1,
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer)],
-        classes: vec![Class { name: "safe".into(), aim: 1_000_000, ..Class::default() }],
+        replica_count: 1,
+        worker_kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode)],
+        classes: vec![Class { name: "safe".into(), first_token_objective: 1_000_000, ..Class::default() }],
         max_attempts: 4,
         connect_timeout: 250_000,
-        release: 500_000,
-        may_drop: false,
+        cache_hold_limit: 500_000,
+        cancellation_allowed: false,
         ..Settings::default()
     }
 }
 
 /// A driver with a request of which an attempt is out.
-pub struct Driver {
+pub struct DriverHarness {
     pub notes: Rc<Notes>,
-    pub client: ServerSide,
+    pub client: PendingResponse,
     /// The driver runs for as long as there is one.
-    pub handle: CoreHandle,
+    pub handle: DriverHandle,
 }
 
-impl Driver {
-    pub async fn start(settings: Settings, time: Micros) -> Driver {
+impl DriverHarness {
+    pub async fn start(settings: Settings, time: Micros) -> DriverHarness {
         let (notes, clock) = (Rc::new(Notes::default()), Clock::start());
-        let (handle, queue) = CoreHandle::channel(clock);
-        let core = Core::new(settings, 1, clock, notes.clone(), Rc::default());
-        let entries = ["r", "w"].map(|kind| Entry {
+        let (handle, queue) = DriverHandle::channel(clock);
+        let driver = Driver::new(settings, 1, clock, notes.clone(), Rc::default());
+        let entries = ["r", "w"].map(|kind| Endpoint {
             worker: WorkerId(kind.into()),
             zone: String::new(),
             kind: kind.into(),
             cell: 0,
-            status: Status::Ready,
+            status: WorkerStatus::Ready,
             weight: 1.0,
-            started: None,
+            started_at: None,
         });
-        handle.tell(Input::List { kind: ListKind::Saved, entries: entries.to_vec() });
-        tokio::task::spawn_local(core.run(queue));
-        let client = handle.ask(ask(clock.now() + time), call());
+        handle.submit(DriverInput::EndpointsUpdated {
+            kind: UpdateKind::Restored,
+            endpoints: entries.to_vec(),
+        });
+        tokio::task::spawn_local(driver.run(queue));
+        let client = handle.submit_request(ask(clock.now() + time), call());
         while notes.attempts.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
-        Driver { notes, client, handle }
+        DriverHarness { notes, client, handle }
     }
 
     /// What the attempt that is out was told.
@@ -80,8 +83,8 @@
     }
 }
 
-pub fn ask(deadline: Micros) -> Ask {
-    Ask {
+pub fn ask(deadline: Micros) -> RequestSpec {
+    RequestSpec {
         request: RequestId(0),
         deadline,
         session: None,
@@ -89,20 +92,20 @@
         prefix_tokens: 0,
         prompt_tokens: 1,
         max_tokens: 1,
-        hint: None,
+        expected_decode_time: None,
         class: "safe".into(),
         tenant: None,
     }
 }
 
-pub fn call() -> Call {
-    Call {
+pub fn call() -> ForwardedRequest {
+    ForwardedRequest {
         id: "id-1".into(),
         target: String::new(),
         headers: Default::default(),
         body: "".into(),
         client: Default::default(),
-        keeps: None,
+        resources: None,
     }
 }
 
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -8,43 +8,43 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(name: &str, effect: Effect) -> Class {
+pub fn class(name: &str, effect: Idempotency) -> Class {
     Class {
         name: name.into(),
-        effect,
-        repeat_window: 5 * SECOND,
-        aim: SECOND,
-        token_aim: 60 * MS,
-        give_up: 8 * SECOND,
-        worth: 1.0,
+        idempotency: effect,
+        deduplication_window: 5 * SECOND,
+        first_token_objective: SECOND,
+        inter_token_objective: 60 * MS,
+        client_timeout: 8 * SECOND,
+        priority_weight: 1.0,
         ..Class::default()
     }
 }
 
 pub fn settings() -> Settings {
-    let kind = |name: &str, role| Kind { name: name.into(), role, memory_tokens: Some(150_000) };
+    let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: Some(150_000) };
     Settings {
-        routers: 2,
+        replica_count: 2,
         zone: "z".into(),
-        kinds: vec![kind("r", Role::Reader), kind("w", Role::Writer), kind("m", Role::Mixed)],
+        worker_kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode), kind("m", Role::Unified)],
         classes: vec![
-            class("safe", Effect::Safe),
-            class("once", Effect::Unsafe),
-            class("cell", Effect::Keyed(Group::Cell)),
+            class("safe", Idempotency::Idempotent),
+            class("once", Idempotency::NonIdempotent),
+            class("cell", Idempotency::Keyed(DeduplicationScope::Cell)),
         ],
         max_attempts: 5,
-        may_drop: true,
-        retry_advice: true,
+        cancellation_allowed: true,
+        retry_after_allowed: true,
         max_retry_after: 500 * MS,
         connect_timeout: 250 * MS,
-        tick: 2 * MS,
-        release: 500 * MS,
-        answer_slack: 16 * MS,
+        event_interval: 2 * MS,
+        cache_hold_limit: 500 * MS,
+        answer_grace: 16 * MS,
         drain_grace: 500 * MS,
-        cold_from: 0.33,
-        cold: 10 * SECOND,
-        fall_multiple: 2.5,
-        fall: SECOND,
+        slow_start_floor: 0.33,
+        slow_start_duration: 10 * SECOND,
+        overload_multiple: 2.5,
+        overload_window: SECOND,
         ..Settings::default()
     }
 }
@@ -68,8 +68,8 @@
         let mut rig = Rig::new(settings);
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
         rig.list(
-            ListKind::Saved,
-            list.iter().map(|(w, cell)| entry(w, *cell, Status::Ready, None)).collect(),
+            UpdateKind::Restored,
+            list.iter().map(|(w, cell)| entry(w, *cell, WorkerStatus::Ready, None)).collect(),
         );
         rig
     }
@@ -78,34 +78,34 @@
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         self.timers.extend(out.iter().filter_map(|a| match a {
-            Action::Timer { at, .. } => Some(*at),
+            Action::SetTimer { at, .. } => Some(*at),
             _ => None,
         }));
         self.log.extend(out.iter().cloned());
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::List { kind, entries })
+    pub fn list(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::EndpointsUpdated { kind, endpoints: entries })
     }
 
     pub fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
-        self.ask_with(Ask { request: RequestId(id), ..ask(self.now, class) })
+        self.ask_with(RequestSpec { request: RequestId(id), ..ask(self.now, class) })
     }
 
-    pub fn ask_with(&mut self, ask: Ask) -> Vec<Action> {
-        self.event(Event::Ask(ask))
+    pub fn ask_with(&mut self, ask: RequestSpec) -> Vec<Action> {
+        self.event(Event::RequestReceived(ask))
     }
 
     pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let settled = outcome == Outcome::Served;
-        self.event(Event::Ended(Ended {
+        let settled = outcome == Outcome::Completed;
+        self.event(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(attempt),
             outcome,
             elapsed: 50 * MS,
-            settled,
-            kept: 0,
+            request_finished: settled,
+            cached_tokens: 0,
             report: None,
         }))
     }
@@ -126,8 +126,8 @@
     }
 }
 
-pub fn ask(now: Micros, class: &str) -> Ask {
-    Ask {
+pub fn ask(now: Micros, class: &str) -> RequestSpec {
+    RequestSpec {
         request: RequestId(0),
         deadline: now + 4 * SECOND,
         session: None,
@@ -135,16 +135,16 @@
         prefix_tokens: 0,
         prompt_tokens: 2_000,
         max_tokens: 300,
-        hint: None,
+        expected_decode_time: None,
         class: class.into(),
         tenant: None,
     }
 }
 
-pub fn entry(name: &str, cell: u64, status: Status, started: Option<Micros>) -> Entry {
+pub fn entry(name: &str, cell: u64, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
-    Entry { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started }
+    Endpoint { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started_at: started }
 }
 
 pub fn sends(actions: &[Action]) -> Vec<&str> {
@@ -162,11 +162,11 @@
 }
 
 pub fn finals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
 
 pub fn releases(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Release { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::ReleaseCache { .. })).count()
 }
 
 /// Whether a request is answered as failed.
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,13 +1,13 @@
 //! The server side alone, in the process of the test: a listener with a core that the test plays itself.
 #![allow(dead_code)]
 
-use llm_router::frontend::service::{RequestService, Shared};
-use llm_router::interface::{Ask, RequestId};
-use llm_router::net::server::accept::{Listener, Stage};
+use llm_router::frontend::service::{RequestService, ServiceContext};
+use llm_router::interface::{RequestId, RequestSpec};
+use llm_router::net::server::accept::{Listener, ShutdownPhase};
 use llm_router::net::server::budget::Budget;
 use llm_router::net::server::connections::Connections;
-use llm_router::runtime::exchange::{AnswerHandle, Call};
-use llm_router::runtime::{Clock, CoreHandle, Input};
+use llm_router::runtime::exchange::{ForwardedRequest, Responder};
+use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::io::{ErrorKind, Read};
@@ -36,9 +36,9 @@
 pub struct Server {
     pub listener: TcpListener,
     pub accepting: Listener,
-    pub stage: watch::Sender<Stage>,
+    pub stage: watch::Sender<ShutdownPhase>,
     pub open: Rc<Connections>,
-    pub core: mpsc::UnboundedReceiver<Input>,
+    pub driver: mpsc::UnboundedReceiver<DriverInput>,
 }
 
 impl Server {
@@ -47,16 +47,16 @@
     }
 
     pub async fn start_with(options: Options) -> Server {
-        let (handle, core) = CoreHandle::channel(Clock::start());
-        let shared = Shared {
-            core: handle,
+        let (handle, driver) = DriverHandle::channel(Clock::start());
+        let shared = ServiceContext {
+            driver: handle,
             classes: vec!["explain".into(), "send".into()],
             ready: Box::new(|| true),
             counters: Rc::default(),
             budget: Budget::new(options.budget),
             ids: RefCell::new(HashSet::new()),
         };
-        let (stage, stages) = watch::channel(Stage::Open);
+        let (stage, stages) = watch::channel(ShutdownPhase::Open);
         let open = Rc::new(Connections::default());
         let accepting = Listener {
             service: RequestService { shared: Rc::new(shared), tools: None },
@@ -65,7 +65,7 @@
             stage: stages,
             open: open.clone(),
         };
-        Server { listener: TcpListener::bind("127.0.0.1:0").await.unwrap(), accepting, stage, open, core }
+        Server { listener: TcpListener::bind("127.0.0.1:0").await.unwrap(), accepting, stage, open, driver }
     }
 
     pub async fn connect(&self) -> TcpStream {
@@ -74,26 +74,26 @@
 
     /// Serves from here on.
     pub fn run(self) -> RunningServer {
-        let Server { listener, accepting, stage, open, core } = self;
+        let Server { listener, accepting, stage, open, driver } = self;
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(accepting.accept(listener));
-        RunningServer { address, stage, open, core }
+        RunningServer { address, stage, open, driver }
     }
 }
 
 /// A server that accepts.
 pub struct RunningServer {
     pub address: std::net::SocketAddr,
-    pub stage: watch::Sender<Stage>,
+    pub stage: watch::Sender<ShutdownPhase>,
     pub open: Rc<Connections>,
-    pub core: mpsc::UnboundedReceiver<Input>,
+    pub driver: mpsc::UnboundedReceiver<DriverInput>,
 }
 
 /// A request as the core is handed it.
 pub struct Taken {
-    pub ask: Ask,
-    pub call: Rc<Call>,
-    pub answer: AnswerHandle,
+    pub ask: RequestSpec,
+    pub call: Rc<ForwardedRequest>,
+    pub answer: Responder,
 }
 
 impl RunningServer {
@@ -104,7 +104,9 @@
     /// The next request that the core is handed.
     pub async fn taken(&mut self) -> Taken {
         loop {
-            if let Input::Ask { ask, call, answer } = self.core.recv().await.unwrap() {
+            if let DriverInput::RequestReceived { spec: ask, forwarded: call, responder: answer } =
+                self.driver.recv().await.unwrap()
+            {
                 return Taken { ask, call, answer };
             }
         }
@@ -113,7 +115,7 @@
     /// The next request of which the core is told that its client has left.
     pub async fn left(&mut self) -> RequestId {
         loop {
-            if let Input::Left(request) = self.core.recv().await.unwrap() {
+            if let DriverInput::ClientDisconnected(request) = self.driver.recv().await.unwrap() {
                 return request;
             }
         }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -32,7 +32,11 @@
     ask_all(&shimmed.conductor, 20);
     assert!(shimmed.control.count(Fault::ReadInterrupted).unwrap() > 20);
     let counters = shimmed.conductor.stop();
-    assert_eq!(["taken", "sent", "ended_read", "ended_served"].map(|c| counters.get(c)), [20, 40, 20, 20]);
+    assert_eq!(
+        ["requests_received", "attempts_sent", "attempts_prefill_completed", "attempts_completed"]
+            .map(|c| counters.get(c)),
+        [20, 40, 20, 20]
+    );
 }
 
 /// Guards against clients that lost their connections because somebody else's was gone before it was accepted.
@@ -59,7 +63,8 @@
         assert!(shimmed.control.count(fault).unwrap() > 0);
         let counters = shimmed.conductor.stop();
         let wanted = [20, 40, 0, 0];
-        let seen = ["taken", "sent", "ended_no_connection", "ended_not_sent"].map(|c| counters.get(c));
+        let seen = ["requests_received", "attempts_sent", "attempts_connect_failed", "attempts_not_sent"]
+            .map(|c| counters.get(c));
         assert_eq!(seen, wanted, "{fault:?}");
     }
 }
@@ -70,7 +75,7 @@
     let (shimmed, _workers) = routed();
     shimmed.control.set_period(Fault::WriteNoBuffers, 2).unwrap();
     ask_all(&shimmed.conductor, 20);
-    assert_eq!(shimmed.conductor.stop().get("ended_served"), 20);
+    assert_eq!(shimmed.conductor.stop().get("attempts_completed"), 20);
 }
 
 /// Guards against news that was left in the system's buffer: the runtime took a short read for all that had come.
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -414,6 +414,6 @@
     reaches.recv().unwrap();
     drop(client);
     assert_eq!(closes.recv().unwrap(), "true");
-    assert_eq!(conductor.stop().get("clients_left"), 1);
+    assert_eq!(conductor.stop().get("client_disconnects"), 1);
     assert_eq!(lines.try_iter().filter(|line| line.starts_with("POST")).count(), 1);
 }
