--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -122,7 +122,7 @@
 }
 
 /// A worker that notes what it is sent and leaves the rest to `act`.
-fn noting(
+fn recording_peer(
     act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<Message>) {
     let (tell, told) = mpsc::channel();
@@ -202,7 +202,7 @@
     #[case] wanted: Outcome,
 ) {
     story(async {
-        let (peer, told) = noting(read_done);
+        let (peer, told) = recording_peer(read_done);
         let mut client = Client::start(&[(WORKER, peer.address)], 4);
         let mut attempt = client.attempt(WORKER, "id-1");
         match meanwhile {
@@ -353,7 +353,7 @@
 #[tokio::test]
 async fn a_worker_is_told_what_is_left_after_the_wait_for_a_release() {
     story(async {
-        let (peer, told) = noting(read_done);
+        let (peer, told) = recording_peer(read_done);
         let mut client = Client::start(&[(WORKER, peer.address)], 4);
         let mut attempt = client.attempt(WORKER, "id-1");
         let until = attempt.until;
@@ -397,7 +397,7 @@
 async fn a_late_second_answer_is_not_taken_for_the_next_one_s() {
     story(async {
         let seen = Mutex::new(HashSet::new());
-        let (peer, told) = noting(move |_, conn| {
+        let (peer, told) = recording_peer(move |_, conn| {
             // A connection that was used before brings the late answer to its first request first.
             if !seen.lock().unwrap().insert(conn.0.peer_addr().unwrap()) {
                 let _ = conn.0.write_all(b"HTTP/1.1 500 Error\r\ncontent-length: 0\r\n\r\n");
@@ -436,7 +436,7 @@
     #[case] wanted: Outcome,
 ) {
     story(async {
-        let (peer, _told) = noting(move |_, conn| {
+        let (peer, _told) = recording_peer(move |_, conn| {
             conn.answer(status, headers, "data: {}\n\n");
             true
         });
@@ -495,7 +495,7 @@
         let (go, gate) = mpsc::channel::<()>();
         let (closed, closes) = mpsc::channel();
         let script = Mutex::new((gate, closed));
-        let (peer, told) = noting(move |message, conn| {
+        let (peer, told) = recording_peer(move |message, conn| {
             if message.header("x-request-id") == Some("id-1") {
                 let script = script.lock().unwrap();
                 script.0.recv().unwrap();
@@ -526,7 +526,7 @@
     story(async {
         let (go, gate) = mpsc::channel::<()>();
         let gate = Mutex::new(gate);
-        let (peer, told) = noting(move |_, conn| {
+        let (peer, told) = recording_peer(move |_, conn| {
             gate.lock().unwrap().recv().unwrap();
             conn.answer("202 Accepted", "", "{}");
             true
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -41,10 +41,10 @@
 #[case::in_the_body("{HEAD}content-length: 900\r\n\r\nhalf")]
 #[case::in_a_chunk("{HEAD}transfer-encoding: chunked\r\n\r\nfff\r\nhalf")]
 fn half_a_request_followed_by_a_close_reaches_nobody(#[case] half: &str) {
-    let ((worker, told), reader) = (worker(), Peer::reader());
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[worker.address], ""));
+    let ((worker, told), reader) = (worker(), Peer::prefill_worker());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[worker.address], ""));
     for how in [Shutdown::Write, Shutdown::Both] {
-        let mut client = conductor.connect();
+        let mut client = router.connect();
         client.write_all(half.replace("{HEAD}", HEAD).as_bytes()).unwrap();
         client.shutdown(how).unwrap();
         // An error or nothing, and a close.
@@ -53,8 +53,8 @@
         let answer = String::from_utf8_lossy(&answer);
         assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
     }
-    assert_eq!(conductor.ask("id-1", "send").status(), 200);
-    assert_eq!(conductor.stop().get("requests_received"), 1);
+    assert_eq!(router.request("id-1", "send").status(), 200);
+    assert_eq!(router.stop().get("requests_received"), 1);
     assert_eq!(told.try_iter().collect::<Vec<_>>(), ["id-1"]);
 }
 
@@ -62,8 +62,8 @@
 #[case::one_line_without_end("x-long: ", "a")]
 #[case::lines_without_end("", "x-many: a\r\n")]
 fn an_endless_head_gets_an_error_and_a_close(#[case] first: &str, #[case] again: &str) {
-    let conductor = Conductor::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    let mut client = router.connect();
     let mut sending = client.try_clone().unwrap();
     let head = format!("{HEAD}{first}");
     let part = again.repeat(4096);
@@ -75,22 +75,22 @@
     assert!(answer.status() == 0 || (400..500).contains(&answer.status()), "{}", answer.line);
     drop(client);
     assert!(!sent.join().unwrap(), "all of it was taken");
-    assert_eq!(conductor.stop().get("requests_received"), 0);
+    assert_eq!(router.stop().get("requests_received"), 0);
 }
 
 /// Many commands at once on one connection are answered one after another, each once.
 #[test]
 fn many_commands_at_once_are_each_answered_once() {
     const COMMANDS: usize = 100;
-    let ((worker, told), reader) = (worker(), Peer::reader());
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[worker.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let ((worker, told), reader) = (worker(), Peer::prefill_worker());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[worker.address], ""));
+    let mut client = BufReader::new(router.connect());
     let all: String = (0..COMMANDS).map(|i| request(&format!("id-{i}"), "send", "hello")).collect();
     let mut sending = client.get_ref().try_clone().unwrap();
     let sent = std::thread::spawn(move || sending.write_all(all.as_bytes()).unwrap());
     assert_eq!(statuses(&mut client, COMMANDS), [200; COMMANDS]);
     sent.join().unwrap();
-    assert_eq!(conductor.stop().get("attempts_completed"), COMMANDS as u64);
+    assert_eq!(router.stop().get("attempts_completed"), COMMANDS as u64);
     let wanted: Vec<String> = (0..COMMANDS).map(|i| format!("id-{i}")).collect();
     assert_eq!(told.try_iter().collect::<Vec<_>>(), wanted);
 }
@@ -99,12 +99,12 @@
 #[test]
 fn a_flood_of_requests_is_answered_and_takes_no_more_than_the_descriptors() {
     const CLIENTS: usize = 300;
-    let ((worker, _told), reader) = (worker(), Peer::reader());
+    let ((worker, _told), reader) = (worker(), Peer::prefill_worker());
     let file =
         operator_file(&[reader.address], &[worker.address], "limits = { sockets = 256, memory_mb = 64 }");
-    let conductor = Conductor::start_within(256, &file);
+    let router = RouterProcess::start_within(256, &file);
     let ask = |i| {
-        let mut client = conductor.connect();
+        let mut client = router.connect();
         let _ = client.write_all(request(&format!("id-{i}"), "explain", "hello").as_bytes());
         BufReader::new(client)
     };
@@ -114,7 +114,7 @@
     assert!(answers.iter().all(|status| [0, 200, 408, 503].contains(status)), "{answers:?}");
     assert!(answers.iter().filter(|status| **status == 200).count() > CLIENTS / 4, "{answers:?}");
     drop(clients);
-    while conductor.ask("id-last", "send").status() != 200 {}
+    while router.request("id-last", "send").status() != 200 {}
 }
 
 #[rstest]
@@ -183,11 +183,11 @@
     400
 )]
 fn bad_input_is_a_plain_4xx_and_is_never_forwarded(#[case] bytes: &str, #[case] status: u16) {
-    let (peer, told) = noting(|_, _| false);
-    let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], ""));
-    assert_eq!(conductor.raw(bytes.as_bytes()).status(), status);
+    let (peer, told) = recording_peer(|_, _| false);
+    let router = RouterProcess::start(&operator_file(&[peer.address], &[peer.address], ""));
+    assert_eq!(router.raw(bytes.as_bytes()).status(), status);
     // What stands behind such a request, or in its body, may be answered with a 4xx of its own.
-    assert!((1..=2).contains(&conductor.stop().get("requests_malformed")));
+    assert!((1..=2).contains(&router.stop().get("requests_malformed")));
     assert_eq!(told.try_iter().count(), 0);
 }
 
@@ -197,22 +197,22 @@
 #[case::silent("")]
 #[case::half_a_request("POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n")]
 fn clients_that_hold_places_make_room_for_others(#[case] bytes: &str) {
-    let (reader, writer) = (Peer::reader(), writer());
+    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
     let file =
         operator_file(&[reader.address], &[writer.address], "limits = { sockets = 256, memory_mb = 64 }");
-    let conductor = Conductor::start(&file);
+    let router = RouterProcess::start(&file);
     let hold = |_| {
-        let mut client = conductor.connect();
+        let mut client = router.connect();
         let _ = client.write_all(bytes.as_bytes());
         client
     };
     let holding: Vec<_> = (0..300).map(hold).collect();
     let mut tries = 0;
-    while conductor.ask(&format!("id-{tries}"), "send").status() != 200 {
+    while router.request(&format!("id-{tries}"), "send").status() != 200 {
         tries += 1;
     }
     drop(holding);
-    assert!(conductor.stop().get("connections_evicted") >= 1);
+    assert!(router.stop().get("connections_evicted") >= 1);
 }
 
 /// Guards against connections held for good: what doesn't come whole in time is told so, however it dawdles.
@@ -228,9 +228,9 @@
     408
 )]
 fn what_does_not_come_whole_is_closed_though_it_drips(#[case] bytes: &str, #[case] status: u16) {
-    let (peer, told) = noting(|_, _| false);
-    let conductor = Conductor::start(&operator_file(&[peer.address], &[peer.address], ""));
-    let mut client = conductor.connect();
+    let (peer, told) = recording_peer(|_, _| false);
+    let router = RouterProcess::start(&operator_file(&[peer.address], &[peer.address], ""));
+    let mut client = router.connect();
     client.write_all(bytes.as_bytes()).unwrap();
     if status != 0 {
         let mut dripping = client.try_clone().unwrap();
@@ -242,7 +242,7 @@
     }
     let answer = Message::read(&mut BufReader::new(client)).unwrap_or_default();
     assert_eq!(answer.status(), status);
-    drop(conductor);
+    drop(router);
     assert_eq!(told.try_iter().count(), 0);
 }
 
@@ -250,8 +250,8 @@
 /// long as a client sends.
 #[test]
 fn a_body_far_too_long_is_told_so_and_is_not_read_to_its_end() {
-    let conductor = Conductor::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    let mut client = router.connect();
     let mut sending = client.try_clone().unwrap();
     let head = "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\nx-request-id: a\r\nx-class: send\r\nx-deadline: 1000m\r\n";
     let sent = std::thread::spawn(move || {
@@ -268,10 +268,10 @@
 #[test]
 fn a_burst_of_connections_waits_in_the_systems_queue() {
     const BURST: usize = 400;
-    let conductor = Conductor::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
-    conductor.signal("-STOP");
-    let connect = |_| TcpStream::connect_timeout(&conductor.address, Duration::from_millis(500));
+    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    router.signal("-STOP");
+    let connect = |_| TcpStream::connect_timeout(&router.address, Duration::from_millis(500));
     let connected: Vec<_> = (0..BURST).map(connect).take_while(Result::is_ok).collect();
-    conductor.signal("-CONT");
+    router.signal("-CONT");
     assert_eq!(connected.len(), BURST);
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -238,15 +238,14 @@
     ];
     for (failures, silent, longest) in most {
         let mut calls = [0; 10];
-        for conductor in 0..100 {
-            let pause = Backoff::new(&settings(true), conductor).pause(failures, silent).as_secs_f64();
+        for router in 0..100 {
+            let pause = Backoff::new(&settings(true), router).pause(failures, silent).as_secs_f64();
             calls[(pause / longest * 10.0) as usize] += 1;
         }
         assert!(calls.iter().all(|n| (2..=20).contains(n)), "after {failures} failures: {calls:?}");
     }
     // An agent that is asked for nothing but its own list is asked again soon.
-    let soon =
-        |conductor| Backoff::new(&settings(false), conductor).pause(40, answered) < Duration::from_secs(1);
+    let soon = |router| Backoff::new(&settings(false), router).pause(40, answered) < Duration::from_secs(1);
     assert!((0..100).all(soon));
 }
 
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// A conductor's follower, and everything round it.
+/// A router's follower, and everything round it.
 struct Following {
     calls: mpsc::UnboundedReceiver<Call>,
     driver: mpsc::UnboundedReceiver<DriverInput>,
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -51,9 +51,9 @@
     ] {
         assert!(file.contains(carried), "{carried}: {file}");
     }
-    let conductor = Conductor::start(&file);
-    assert_eq!(conductor.address, bind);
-    let answer = conductor.ask("id-1", "default");
+    let router = RouterProcess::start(&file);
+    assert_eq!(router.address, bind);
+    let answer = router.request("id-1", "default");
     assert!(answer.status() == 200 && answer.whole, "{answer:?}");
 }
 
@@ -82,6 +82,6 @@
 #[test]
 fn the_operators_file_in_deploy_is_one_the_program_starts_from() {
     let text = include_str!("../deploy/operator.toml").replace("127.0.0.1:8080", "127.0.0.1:0");
-    let conductor = Conductor::start(&text);
-    assert_eq!(conductor.rpc("[]").status(), 400);
+    let router = RouterProcess::start(&text);
+    assert_eq!(router.rpc("[]").status(), 400);
 }
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -12,14 +12,14 @@
 /// their time, and workers were told more time than there was.
 #[test]
 fn requests_are_served_while_nobody_reads_the_log() {
-    let (reader, writer) = (Peer::reader(), writer());
+    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
     let file = operator_file(&[reader.address], &[writer.address], "");
-    let conductor = Conductor::start_in(1024, &file, &[("RUST_LOG", Path::new("debug"))]);
-    let reading = conductor.log_reading.clone();
+    let router = RouterProcess::start_in(1024, &file, &[("RUST_LOG", Path::new("debug"))]);
+    let reading = router.log_reading.clone();
     let unread = reading.lock().unwrap();
     for number in 0..REQUESTS {
-        assert_eq!(conductor.ask(&format!("id-{number}"), "send").status(), 200);
+        assert_eq!(router.request(&format!("id-{number}"), "send").status(), 200);
     }
     drop(unread);
-    assert_eq!(conductor.stop().get("attempts_completed"), REQUESTS as u64);
+    assert_eq!(router.stop().get("attempts_completed"), REQUESTS as u64);
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -11,8 +11,8 @@
 /// Guards against sends to a host that was told to drain, and against a list lost with its discovery.
 #[test]
 fn discovery_moves_work_and_its_silence_changes_nothing() {
-    let (old, new, reader) = (noting(|_, _| false), writer(), Peer::reader());
-    let (asked, asks) = news();
+    let (old, new, reader) = (recording_peer(|_, _| false), decode_worker(), Peer::prefill_worker());
+    let (asked, asks) = shared_channel();
     let address = new.address;
     let discovery = Peer::start(move |message, conn| {
         conn.begin_stream();
@@ -27,18 +27,18 @@
         false
     });
     let more = format!("discovery = \"{}\"", discovery.address);
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[old.0.address], &more));
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[old.0.address], &more));
     for _ in 0..2 {
         assert!(asks.recv().unwrap().contains("GET /v1/servers?watch=1&after=7"));
     }
-    assert_eq!(conductor.ask("id-1", "send").status(), 200);
+    assert_eq!(router.request("id-1", "send").status(), 200);
     assert_eq!(old.1.try_iter().filter(|l| l.starts_with("POST")).count(), 0);
 }
 
 /// Guards against a watch that the module's wish for one cuts off: the call left behind is served for nobody.
 #[test]
 fn where_lists_come_on_request_discovery_is_asked_once() {
-    let (asked, asks) = news();
+    let (asked, asks) = shared_channel();
     let discovery = Peer::start(move |message, conn| {
         asked(message.line.clone());
         conn.begin_stream();
@@ -47,9 +47,9 @@
     });
     let more = format!("discovery = \"{}\"", discovery.address);
     let file = operator_file(&[Peer::nobody()], &[Peer::nobody()], &more);
-    let conductor = Conductor::start(&file.replace("\"pushed\"", "\"on_request\""));
-    conductor.wait_for("answer-0 (answer, here, cell 0) is Draining");
-    assert_eq!(conductor.stop().get("watches_lost"), 0);
+    let router = RouterProcess::start(&file.replace("\"pushed\"", "\"on_request\""));
+    router.wait_for("answer-0 (answer, here, cell 0) is Draining");
+    assert_eq!(router.stop().get("watches_lost"), 0);
     assert_eq!(asks.try_iter().count(), 1);
 }
 
@@ -57,7 +57,7 @@
 /// lives, and a new agent asked for changes since a version that it never had.
 #[test]
 fn sighup_moves_discovery_at_once_and_what_is_in_hand_goes_on() {
-    let (begun, begins) = news();
+    let (begun, begins) = shared_channel();
     let go = Arc::new(Mutex::new(()));
     let held = go.lock().unwrap();
     let gate = go.clone();
@@ -69,15 +69,15 @@
         conn.end_stream();
         true
     });
-    let (reader, new_writer) = (Peer::reader(), writer());
-    let (closed, closes) = news();
+    let (reader, new_writer) = (Peer::prefill_worker(), decode_worker());
+    let (closed, closes) = shared_channel();
     let old = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.chunk("\n");
         closed(conn.is_closed().to_string());
         false
     });
-    let (asked, asks) = news();
+    let (asked, asks) = shared_channel();
     let (reads, writes) = (reader.address, new_writer.address);
     let new = Peer::start(move |message, conn| {
         asked(message.line.clone());
@@ -89,21 +89,21 @@
         true
     });
     let file = |more: &str| operator_file(&[reader.address], &[old_writer.address], more);
-    let conductor = Conductor::start(&file(&format!("discovery = \"{}\"", old.address)));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&file(&format!("discovery = \"{}\"", old.address)));
+    let mut client = router.connect();
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     begins.recv().unwrap();
-    conductor.reload("listen = ");
-    assert!(conductor.wait_for("the configuration held stands").contains("line 1"));
-    conductor.reload(&file(&format!("discovery = \"{}\"", new.address)));
+    router.reload("listen = ");
+    assert!(router.wait_for("the configuration held stands").contains("line 1"));
+    router.reload(&file(&format!("discovery = \"{}\"", new.address)));
     assert_eq!(closes.recv().unwrap(), "true");
     for wanted in ["GET /v1/servers HTTP", "GET /v1/servers?watch=1&after=1 HTTP"] {
         assert!(asks.recv().unwrap().starts_with(wanted));
     }
-    assert_eq!(conductor.ask("id-2", "send").status(), 200);
+    assert_eq!(router.request("id-2", "send").status(), 200);
     drop(held);
     assert!(Message::read(&mut BufReader::new(client)).unwrap().whole);
-    let counters = conductor.stop();
+    let counters = router.stop();
     assert_eq!(["reloads", "reloads_failed", "requests_received"].map(|c| counters.get(c)), [1, 1, 2]);
 }
 
@@ -112,8 +112,8 @@
 #[test]
 fn idle_clients_leave_room_for_discovery_and_for_servers() {
     const DESCRIPTORS: usize = 200;
-    let (reader, new) = (Peer::reader(), writer());
-    let (asked, asks) = news();
+    let (reader, new) = (Peer::prefill_worker(), decode_worker());
+    let (asked, asks) = shared_channel();
     let up = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let (is_up, address) = (up.clone(), new.address);
     let discovery = Peer::start(move |_, conn| {
@@ -130,9 +130,9 @@
         discovery.address
     );
     let file = operator_file(&[reader.address], &[], &more);
-    let conductor = Conductor::start_within(DESCRIPTORS, &file);
+    let router = RouterProcess::start_within(DESCRIPTORS, &file);
     // They come again as soon as they are closed: a descriptor that falls free is taken at once.
-    let (address, ended) = (conductor.address, Arc::new(std::sync::atomic::AtomicBool::new(false)));
+    let (address, ended) = (router.address, Arc::new(std::sync::atomic::AtomicBool::new(false)));
     let over = ended.clone();
     let resting = std::thread::spawn(move || {
         let connect = |i: usize| {
@@ -162,17 +162,17 @@
         asks.recv().unwrap();
     }
     up.store(true, Ordering::SeqCst);
-    let lines = conductor.lines_to("answer-9 (answer, here, cell 0) is Ready");
+    let lines = router.lines_to("answer-9 (answer, here, cell 0) is Ready");
     assert!(!lines.iter().any(|l| l.contains("Too many open files")), "{lines:?}");
     let mut tries = 0;
-    while conductor.ask(&format!("id-{tries}"), "send").status() != 200 {
+    while router.request(&format!("id-{tries}"), "send").status() != 200 {
         tries += 1;
     }
     ended.store(true, Ordering::SeqCst);
     resting.join().unwrap();
 }
 
-/// Guards against a start that waits for discovery: the list that a conductor held before is good enough to serve.
+/// Guards against a start that waits for discovery: the list that a router held before is good enough to serve.
 #[rstest]
 fn a_conductor_is_ready_from_its_known_list_while_discovery_says_nothing(
     #[values("pushed", "on_request")] mode: &str,
@@ -181,28 +181,28 @@
         conn.is_closed();
         false
     });
-    let (reader, writer) = (Peer::reader(), writer());
+    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
     let more = format!("discovery = \"{}\"", discovery.address);
     let file = operator_file(&[reader.address], &[writer.address], &more);
-    let conductor = Conductor::start(&file.replace("\"pushed\"", &format!("\"{mode}\"")));
-    assert_eq!(conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").status(), 200);
-    assert_eq!(conductor.ask("id-1", "send").status(), 200);
+    let router = RouterProcess::start(&file.replace("\"pushed\"", &format!("\"{mode}\"")));
+    assert_eq!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").status(), 200);
+    assert_eq!(router.request("id-1", "send").status(), 200);
 }
 
 /// Guards against a send that was decided before the news of a drain and happens after it: the list is looked at
 /// when the first byte is about to go out.
 #[test]
 fn a_send_decided_before_the_news_of_a_drain_is_held_back() {
-    let (drain, drained) = news();
+    let (drain, drained) = shared_channel();
     let drained = Mutex::new(drained);
-    let (old, told) = noting_all(move |message, _| {
+    let (old, told) = recording_peer_with_releases(move |message, _| {
         // The first read breaks; the release before the second one is what the drain comes in.
         if message.line.starts_with("DELETE") {
             drain("now".into());
         }
         false
     });
-    let (new, writer) = (Peer::reader(), Peer::start(writer_that_releases_nothing));
+    let (new, writer) = (Peer::prefill_worker(), Peer::start(decode_worker_without_release));
     let address = new.address;
     let discovery = Peer::start(move |_, conn| {
         conn.begin_stream();
@@ -213,8 +213,8 @@
         false
     });
     let more = format!("discovery = \"{}\"", discovery.address);
-    let conductor = Conductor::start(&operator_file(&[old.address], &[writer.address], &more));
-    assert_eq!(conductor.ask("id-1", "send").status(), 200);
-    assert_eq!(conductor.stop().get("attempts_withheld"), 1);
+    let router = RouterProcess::start(&operator_file(&[old.address], &[writer.address], &more));
+    assert_eq!(router.request("id-1", "send").status(), 200);
+    assert_eq!(router.stop().get("attempts_withheld"), 1);
     assert_eq!(told.try_iter().filter(|l| l.starts_with("POST")).count(), 1);
 }
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,4 +1,4 @@
-//! The conductor between scripted peers on loopback sockets: one story for each thing that went wrong or would.
+//! The router between scripted peers on loopback sockets: one story for each thing that went wrong or would.
 
 mod support;
 
@@ -12,10 +12,10 @@
 
 #[test]
 fn a_request_is_read_then_written_and_nothing_of_it_is_changed() {
-    let ((writer, messages), reader) = (writer_that_notes(), Peer::reader());
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    assert!(conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("200"));
-    let answer = conductor.ask("id-1", "send");
+    let ((writer, messages), reader) = (recording_decode_worker(), Peer::prefill_worker());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    assert!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("200"));
+    let answer = router.request("id-1", "send");
     let message = messages.recv().unwrap();
     assert_eq!(message.line, "POST /v1/chat/completions?x=1 HTTP/1.1");
     assert_eq!((message.header("x-request-id"), message.text().as_str()), (Some("id-1"), "hello"));
@@ -23,7 +23,7 @@
     let wanted =
         "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"},\"finish_reason\":null}]}\n\n";
     assert!(answer.whole && answer.text().starts_with(wanted) && answer.text().ends_with("data: [DONE]\n\n"));
-    let counters = conductor.stop();
+    let counters = router.stop();
     let counts = [
         "requests_received",
         "attempts_sent",
@@ -39,11 +39,11 @@
 /// nobody else, and the deadline is told anew.
 #[test]
 fn a_request_keeps_its_end_to_end_headers_and_no_others() {
-    let ((writer, messages), reader) = (writer_that_notes(), Peer::reader());
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let ((writer, messages), reader) = (recording_decode_worker(), Peer::prefill_worker());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
     let more = "idempotency-key: k-1\r\nx-other: a\r\nx-other: b\r\ncontent-type: application/json\r\n\
                 connection: x-hop\r\nx-hop: c\r\nkeep-alive: timeout=5\r\nte: trailers\r\ncontent-length";
-    let answer = conductor.raw(request("id-1", "send", "hello").replace("content-length", more).as_bytes());
+    let answer = router.raw(request("id-1", "send", "hello").replace("content-length", more).as_bytes());
     assert_eq!(answer.status(), 200);
     let message = messages.recv().unwrap();
     let all =
@@ -81,13 +81,13 @@
         conn.delta("one");
         conn.end_stream();
     });
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
     for i in 0..10 {
-        assert_eq!(conductor.ask(&format!("id-{i}"), "send").status(), 200, "request {i}");
+        assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200, "request {i}");
         // Kept connections are used again once they have rested.
         std::thread::sleep(2 * llm_router::net::upstream::pool::TRAILING_BYTES_WAIT);
     }
-    assert_eq!(conductor.stop().get("stale_connections"), 1);
+    assert_eq!(router.stop().get("stale_connections"), 1);
 }
 
 #[rstest]
@@ -98,11 +98,11 @@
         conn.answer(status, "x-not-run: 1\r\n", "");
         true
     });
-    let (writer, reader) = (writer(), Peer::reader());
+    let (writer, reader) = (decode_worker(), Peer::prefill_worker());
     let first = if status.is_empty() { Peer::nobody() } else { full.address };
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[first, writer.address], ""));
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[first, writer.address], ""));
     for i in 0..8 {
-        assert_eq!(conductor.ask(&format!("id-{i}"), "send").status(), 200);
+        assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200);
     }
 }
 
@@ -111,7 +111,7 @@
 #[test]
 fn what_a_broken_read_may_have_left_is_released_before_the_next_read() {
     let broken = AtomicU32::new(0);
-    let (reader, told) = noting(move |_, conn| {
+    let (reader, told) = recording_peer(move |_, conn| {
         if broken.fetch_add(1, Ordering::SeqCst) == 0 {
             return false;
         }
@@ -128,8 +128,8 @@
         conn.end_stream();
         true
     });
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    assert_eq!(conductor.ask("id-1", "send").status(), 200);
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    assert_eq!(router.request("id-1", "send").status(), 200);
     let lines: Vec<String> = told.try_iter().collect();
     let wanted = ["POST /v1/chat", "DELETE /internal/reservations/id-1", "POST /v1/chat"];
     assert!(lines.len() == 3 && lines.iter().zip(wanted).all(|(l, w)| l.starts_with(w)), "{lines:?}");
@@ -138,7 +138,7 @@
 /// Guards against a second copy sent under the id of a request whose stream still runs: other clients may name it.
 #[test]
 fn an_id_is_in_hand_until_its_stream_has_ended() {
-    let (begun, begins) = news();
+    let (begun, begins) = shared_channel();
     let go = Arc::new(Mutex::new(()));
     let held = go.lock().unwrap();
     let gate = go.clone();
@@ -150,32 +150,32 @@
         conn.end_stream();
         true
     });
-    let reader = Peer::reader();
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     begins.recv().unwrap();
     // The head of the answer: the request has its answer, and its stream runs.
     client.fill_buf().unwrap();
-    assert_eq!(conductor.ask("id-1", "send").status(), 409);
+    assert_eq!(router.request("id-1", "send").status(), 409);
     drop(held);
     assert!(Message::read(&mut client).unwrap().whole);
-    while conductor.ask("id-1", "send").status() == 409 {}
-    assert_eq!(conductor.stop().get("requests_received"), 2);
+    while router.request("id-1", "send").status() == 409 {}
+    assert_eq!(router.stop().get("requests_received"), 2);
 }
 
 #[test]
 fn a_client_that_leaves_takes_its_attempt_along_and_its_state_is_released() {
-    let (tell, told) = news();
-    let (closed, closes) = news();
+    let (tell, told) = shared_channel();
+    let (closed, closes) = shared_channel();
     // Any host may be asked to let go: one host is both here.
-    let (host, deleted) = noting(move |_, conn| {
+    let (host, deleted) = recording_peer(move |_, conn| {
         tell("read".into());
         closed(conn.is_closed().to_string());
         false
     });
-    let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&operator_file(&[host.address], &[host.address], ""));
+    let mut client = router.connect();
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     told.recv().unwrap();
     client.shutdown(Shutdown::Both).unwrap();
@@ -189,21 +189,21 @@
 #[case::of_what_may_be_repeated("explain", 503)]
 #[case::of_what_may_have_run("send", 502)]
 fn a_client_that_ends_its_sending_hears_the_end_of_its_request(#[case] class: &str, #[case] status: u16) {
-    let (tell, told) = news();
-    let (host, lines) = noting(move |_, conn| {
+    let (tell, told) = shared_channel();
+    let (host, lines) = recording_peer(move |_, conn| {
         tell("read".into());
         conn.is_closed();
         false
     });
-    let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let router = RouterProcess::start(&operator_file(&[host.address], &[host.address], ""));
+    let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", class, "hello").as_bytes()).unwrap();
     told.recv().unwrap();
     client.get_mut().shutdown(Shutdown::Write).unwrap();
     let answer = Message::read(&mut client).unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")));
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
-    assert_eq!(conductor.stop().get("client_disconnects"), 1);
+    assert_eq!(router.stop().get("client_disconnects"), 1);
     assert_eq!(lines.try_iter().filter(|line| line.starts_with("POST")).count(), 1);
 }
 
@@ -211,21 +211,21 @@
 /// of such a client were sent on one after another.
 #[test]
 fn a_client_that_sent_more_and_left_is_gone_at_once_with_all_that_it_sent() {
-    let (tell, told) = news();
-    let (closed, closes) = news();
-    let (host, lines) = noting(move |_, conn| {
+    let (tell, told) = shared_channel();
+    let (closed, closes) = shared_channel();
+    let (host, lines) = recording_peer(move |_, conn| {
         tell("read".into());
         closed(conn.is_closed().to_string());
         false
     });
-    let conductor = Conductor::start(&operator_file(&[host.address], &[host.address], ""));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&operator_file(&[host.address], &[host.address], ""));
+    let mut client = router.connect();
     let all = ["id-1", "id-2", "id-3"].map(|id| request(id, "send", "hello")).concat();
     client.write_all(all.as_bytes()).unwrap();
     told.recv().unwrap();
     client.shutdown(Shutdown::Both).unwrap();
     assert_eq!(closes.recv().unwrap(), "true");
-    let counters = conductor.stop();
+    let counters = router.stop();
     assert_eq!(
         ["requests_received", "attempts_sent", "client_disconnects"].map(|c| counters.get(c)),
         [1, 1, 1]
@@ -236,8 +236,8 @@
 /// Guards against answers held back: what the module gives up is refused at once, with advice.
 #[test]
 fn what_is_given_up_is_refused_with_advice_long_before_its_deadline() {
-    let conductor = Conductor::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
-    let answer = conductor.ask("id-1", "send");
+    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    let answer = router.request("id-1", "send");
     assert_eq!(answer.status(), 503);
     let advice: f64 = answer.header("retry-after").unwrap().parse().unwrap();
     assert!((1.0..=2.0).contains(&advice), "{advice}");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -38,24 +38,24 @@
         seen.lock().unwrap().send(message.line.clone()).unwrap();
         false
     });
-    let conductor = Conductor::start(&operator_file(&[worker.address], &[worker.address], ""));
+    let router = RouterProcess::start(&operator_file(&[worker.address], &[worker.address], ""));
     let text = request("id-1", "send", "hello");
     let (first, rest) = text.split_at(text.len() - from_the_end);
-    let mut client = BufReader::new(conductor.connect());
+    let mut client = BufReader::new(router.connect());
     // One answer before: the connection is one that rests between requests.
     client.get_mut().write_all(HEALTH).unwrap();
     assert_eq!(Message::read(&mut client).unwrap().status(), 200);
-    conductor.signal("-TERM");
-    conductor.wait_for("stopping: accepting");
+    router.signal("-TERM");
+    router.wait_for("stopping: accepting");
     client.get_mut().write_all(first.as_bytes()).unwrap();
-    conductor.wait_for("stopping: idle connections are closed");
+    router.wait_for("stopping: idle connections are closed");
     client.get_mut().write_all(rest.as_bytes()).unwrap();
     let answer = Message::read(&mut client).unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     assert!(answer.header("retry-after").is_some());
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
-    assert_eq!(Counters(conductor.wait_for("stopped")).get("rejected_at_shutdown"), 1);
-    drop(conductor);
+    assert_eq!(Counters(router.wait_for("stopped")).get("rejected_at_shutdown"), 1);
+    drop(router);
     assert_eq!(messages.try_iter().count(), 0);
 }
 
@@ -70,11 +70,11 @@
         conn.answer("202 Accepted", "", "{}");
         true
     });
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[reader.address], ""));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[reader.address], ""));
+    let mut client = router.connect();
     client.write_all(HEALTH).unwrap();
     assert_eq!(Message::read(&mut BufReader::new(client.try_clone().unwrap())).unwrap().status(), 200);
-    conductor.signal("-TERM");
+    router.signal("-TERM");
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     for _ in 0..3 {
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
@@ -82,50 +82,50 @@
     }
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     drop(client);
-    assert_eq!(Counters(conductor.wait_for("stopped")).get("requests_received"), 0);
-    drop(conductor);
+    assert_eq!(Counters(router.wait_for("stopped")).get("requests_received"), 0);
+    drop(router);
     assert_eq!(messages.try_iter().count(), 0);
 }
 
 /// Guards against a later request lost with the close: one that had arrived behind the streaming one is refused.
 #[test]
 fn a_request_pipelined_behind_a_streaming_one_is_refused_after_it() {
-    let (reader, (begun, begins)) = (Peer::reader(), mpsc::channel());
+    let (reader, (begun, begins)) = (Peer::prefill_worker(), mpsc::channel());
     let (writer, go) = writer_that_waits(begun);
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     begins.recv().unwrap();
     client.fill_buf().unwrap();
     client.get_mut().write_all(request("id-2", "send", "hello").as_bytes()).unwrap();
-    conductor.signal("-TERM");
-    conductor.wait_for("stopping: idle connections are closed");
+    router.signal("-TERM");
+    router.wait_for("stopping: idle connections are closed");
     go.send(()).unwrap();
     let answers = [Message::read(&mut client).unwrap(), Message::read(&mut client).unwrap()];
     assert_eq!((answers[0].status(), answers[0].whole), (200, true));
     assert_eq!((answers[1].status(), answers[1].header("connection")), (503, Some("close")));
-    let counters = Counters(conductor.wait_for("stopped"));
+    let counters = Counters(router.wait_for("stopped"));
     assert_eq!(["attempts_completed", "requests_received"].map(|name| counters.get(name)), [1, 1]);
 }
 
 /// Guards against a second signal that ends the process over what is in hand.
 #[test]
 fn a_second_sigterm_does_not_cut_a_stream_off() {
-    let (reader, (begun, begins)) = (Peer::reader(), mpsc::channel());
+    let (reader, (begun, begins)) = (Peer::prefill_worker(), mpsc::channel());
     let (writer, go) = writer_that_waits(begun);
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     begins.recv().unwrap();
     for _ in 0..2 {
-        conductor.signal("-TERM");
+        router.signal("-TERM");
     }
-    conductor.wait_for("stopping: idle connections are closed");
-    conductor.signal("-TERM");
-    conductor.signal("-INT");
+    router.wait_for("stopping: idle connections are closed");
+    router.signal("-TERM");
+    router.signal("-INT");
     go.send(()).unwrap();
     assert!(Message::read(&mut client).unwrap().whole);
-    assert_eq!(Counters(conductor.wait_for("stopped")).get("attempts_completed"), 1);
+    assert_eq!(Counters(router.wait_for("stopped")).get("attempts_completed"), 1);
 }
 
 /// Guards against the last part of a finished stream lost with the end of the process: its client reads slowly.
@@ -133,22 +133,22 @@
 fn the_last_bytes_of_a_finished_stream_reach_a_slow_client() {
     const EVENTS: usize = 200;
     let event = "x".repeat(32 * 1024);
-    let (reader, text) = (Peer::reader(), event.clone());
+    let (reader, text) = (Peer::prefill_worker(), event.clone());
     let writer = Peer::start(move |_, conn| {
         conn.begin_stream();
         (0..EVENTS).for_each(|_| conn.event(&text));
         conn.end_stream();
         true
     });
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     client.fill_buf().unwrap();
-    conductor.signal("-TERM");
-    conductor.wait_for("stopping: idle connections are closed");
+    router.signal("-TERM");
+    router.wait_for("stopping: idle connections are closed");
     let answer = Message::read(&mut client).unwrap();
     assert!(answer.whole && answer.body.len() > EVENTS * event.len());
-    conductor.wait_for("stopped");
+    router.wait_for("stopped");
 }
 
 /// Guards against an end of the process over a state that is still held: its read is out for a client that has left,
@@ -172,15 +172,15 @@
         true
     });
     let file = operator_file(&[host.address], &[host.address], "");
-    let conductor = Conductor::start(&file.replace("may_cancel = true", "may_cancel = false"));
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&file.replace("may_cancel = true", "may_cancel = false"));
+    let mut client = router.connect();
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     reads.recv().unwrap();
     drop(client);
-    conductor.signal("-TERM");
-    conductor.wait_for("stopping: idle connections are closed, 0 are open");
+    router.signal("-TERM");
+    router.wait_for("stopping: idle connections are closed, 0 are open");
     go.send(()).unwrap();
-    conductor.wait_for("stopped");
+    router.wait_for("stopped");
     assert!(releases.try_iter().any(|line| line.starts_with("DELETE /internal/reservations/id-1")));
 }
 
@@ -239,18 +239,18 @@
 /// Guards against a SIGHUP during an orderly end that breaks it off.
 #[test]
 fn sighup_while_stopping_does_no_harm() {
-    let conductor = Conductor::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
-    conductor.signal("-TERM");
-    conductor.wait_for("stopping");
-    conductor.signal("-HUP");
-    conductor.wait_for("reload: discovery stays");
-    assert_eq!(conductor.stop().get("reloads"), 1);
+    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    router.signal("-TERM");
+    router.wait_for("stopping");
+    router.signal("-HUP");
+    router.wait_for("reload: discovery stays");
+    assert_eq!(router.stop().get("reloads"), 1);
 }
 
 /// Guards against a stop that loses what was taken: SIGTERM lets it finish, and new connections still come.
 #[test]
 fn sigterm_finishes_what_was_taken_and_exits_in_order() {
-    let (begun, begins) = news();
+    let (begun, begins) = shared_channel();
     let go = Arc::new(Mutex::new(()));
     let held = go.lock().unwrap();
     let gate = go.clone();
@@ -262,23 +262,23 @@
         conn.end_stream();
         true
     });
-    let reader = Peer::reader();
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let mut client = BufReader::new(conductor.connect());
-    let mut idle = conductor.connect();
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let mut client = BufReader::new(router.connect());
+    let mut idle = router.connect();
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     begins.recv().unwrap();
-    // The conductor has begun to answer, too.
+    // The router has begun to answer, too.
     client.fill_buf().unwrap();
-    conductor.signal("-USR1");
-    assert_eq!(Counters(conductor.wait_for("counters:")).get("responses_streamed"), 1);
-    conductor.signal("-TERM");
-    conductor.wait_for("stopping");
-    assert!(conductor.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("503"));
+    router.signal("-USR1");
+    assert_eq!(Counters(router.wait_for("counters:")).get("responses_streamed"), 1);
+    router.signal("-TERM");
+    router.wait_for("stopping");
+    assert!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("503"));
     // Idle ones are closed, and only then is the stream let go on.
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
     drop(held);
     assert!(Message::read(&mut client).unwrap().whole);
-    let line = conductor.wait_for("stopped");
+    let line = router.wait_for("stopped");
     assert_eq!(Counters(line).get("attempts_completed"), 1);
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -34,10 +34,10 @@
             !first
         })
     };
-    let (writers, reader) = ([start(), start()], Peer::reader());
+    let (writers, reader) = ([start(), start()], Peer::prefill_worker());
     let all = writers.each_ref().map(|w| w.address);
-    let conductor = Conductor::start(&operator_file(&[reader.address], &all, ""));
-    let answer = conductor.ask("id-1", class);
+    let router = RouterProcess::start(&operator_file(&[reader.address], &all, ""));
+    let answer = router.request("id-1", class);
     assert_eq!((answer.status(), answer.whole, count.load(Ordering::SeqCst)), (status, whole, tries));
     assert!(!begun || answer.text().contains("one"));
 }
@@ -60,7 +60,7 @@
     #[case] begun: bool,
     #[values("send", "explain")] class: &str,
 ) {
-    let (closed, closes) = news();
+    let (closed, closes) = shared_channel();
     let wire = wire.replace("{HEAD}", HEAD);
     let count = AtomicU32::new(0);
     let writer = Peer::start(move |_, conn| {
@@ -75,9 +75,9 @@
         closed((wire.contains("{MORE}") || conn.is_closed()).to_string());
         false
     });
-    let reader = Peer::reader();
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let answer = conductor.ask("id-1", class);
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let answer = router.request("id-1", class);
     let status = if begun || class == "explain" { 200 } else { 502 };
     assert_eq!((answer.status(), answer.whole), (status, !begun));
     assert!(!begun || answer.text() == "data: one\n\n", "{}", answer.text());
@@ -98,9 +98,9 @@
         conn.end_stream();
         true
     });
-    let reader = Peer::reader();
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let mut client = BufReader::new(conductor.connect());
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     for number in 0..20 {
         let mut line = String::new();
@@ -115,7 +115,7 @@
 /// Guards against a client left waiting by a stream that shows life for ever and brings no event.
 #[test]
 fn a_stream_of_comments_without_end_is_broken_off() {
-    let (closed, closes) = news();
+    let (closed, closes) = shared_channel();
     let writer = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.delta("one");
@@ -125,9 +125,9 @@
         closed("closed".into());
         false
     });
-    let reader = Peer::reader();
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let answer = conductor.ask("id-1", "send");
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let answer = router.request("id-1", "send");
     assert!(answer.status() == 200 && !answer.whole && answer.text().contains("one"));
     closes.recv().unwrap();
 }
@@ -151,10 +151,10 @@
         let _ = conn.0.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{behind}").as_bytes());
         true
     });
-    let reader = Peer::reader();
-    let conductor = Conductor::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
     for i in 0..20 {
-        let answer = conductor.ask(&format!("id-{i}"), "send");
+        let answer = router.request(&format!("id-{i}"), "send");
         assert!(answer.whole && answer.text().contains(&format!("\"id-{i}\"")), "{}", answer.line);
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on loopback sockets and a conductor between them, for the stories.
+//! Scripted peers on loopback sockets and a router between them, for the stories.
 #![allow(dead_code)]
 
 pub mod server;
@@ -177,7 +177,7 @@
     }
 
     /// A reader that reads whatever it is sent.
-    pub fn reader() -> Peer {
+    pub fn prefill_worker() -> Peer {
         Peer::start(|message, conn| {
             match message.line.split(' ').next() {
                 Some("POST") => conn.answer("202 Accepted", "", r#"{"cached_tokens":4}"#),
@@ -210,7 +210,7 @@
 }
 
 /// The program under test.
-pub struct Conductor {
+pub struct RouterProcess {
     child: Child,
     pub address: SocketAddr,
     log: mpsc::Receiver<String>,
@@ -219,18 +219,18 @@
     file: std::path::PathBuf,
 }
 
-impl Conductor {
-    pub fn start(operator_file: &str) -> Conductor {
-        Conductor::start_within(1024, operator_file)
+impl RouterProcess {
+    pub fn start(operator_file: &str) -> RouterProcess {
+        RouterProcess::start_within(1024, operator_file)
     }
 
     /// Starts it where the system grants no more than so many descriptors.
-    pub fn start_within(descriptors: usize, operator_file: &str) -> Conductor {
-        Conductor::start_in(descriptors, operator_file, &[])
+    pub fn start_within(descriptors: usize, operator_file: &str) -> RouterProcess {
+        RouterProcess::start_in(descriptors, operator_file, &[])
     }
 
     /// Starts it with more in its environment.
-    pub fn start_in(descriptors: usize, operator_file: &str, environment: &[(&str, &Path)]) -> Conductor {
+    pub fn start_in(descriptors: usize, operator_file: &str, environment: &[(&str, &Path)]) -> RouterProcess {
         static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!("llm-router-{}-{number}.toml", std::process::id()));
@@ -255,11 +255,11 @@
             }
         });
         let address = "127.0.0.1:1".parse().unwrap();
-        let mut conductor = Conductor { child, address, log, log_reading, file };
-        let line = conductor.wait_for("serves on ");
+        let mut router = RouterProcess { child, address, log, log_reading, file };
+        let line = router.wait_for("serves on ");
         let address = line.split("serves on ").nth(1).unwrap().split(',').next().unwrap();
-        conductor.address = address.parse().unwrap();
-        conductor
+        router.address = address.parse().unwrap();
+        router
     }
 
     /// Waits for a line of the log.
@@ -311,7 +311,7 @@
     }
 
     /// A request in the platform's form.
-    pub fn ask(&self, id: &str, class: &str) -> Message {
+    pub fn request(&self, id: &str, class: &str) -> Message {
         self.raw(request(id, class, "hello").as_bytes())
     }
 
@@ -320,7 +320,7 @@
     }
 }
 
-impl Drop for Conductor {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -350,14 +350,14 @@
 }
 
 /// A channel that scripts may share.
-pub fn news() -> (Arc<dyn Fn(String) + Send + Sync>, mpsc::Receiver<String>) {
+pub fn shared_channel() -> (Arc<dyn Fn(String) + Send + Sync>, mpsc::Receiver<String>) {
     let (tx, rx) = mpsc::channel();
     let tx = Mutex::new(tx);
     (Arc::new(move |text| _ = tx.lock().unwrap().send(text)), rx)
 }
 
 /// A writer that streams one answer.
-pub fn writer() -> Peer {
+pub fn decode_worker() -> Peer {
     Peer::start(|_, conn| {
         conn.begin_stream();
         conn.delta("one");
@@ -368,7 +368,7 @@
 }
 
 /// A writer that streams one answer, and the messages that it was sent.
-pub fn writer_that_notes() -> (Peer, mpsc::Receiver<Message>) {
+pub fn recording_decode_worker() -> (Peer, mpsc::Receiver<Message>) {
     let (seen, messages) = mpsc::channel();
     let seen = Mutex::new(seen);
     let writer = Peer::start(move |message, conn| {
@@ -382,10 +382,10 @@
 }
 
 /// A peer that notes each first line and leaves the rest to `act`.
-pub fn noting(
+pub fn recording_peer(
     act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<String>) {
-    noting_all(move |message, conn| {
+    recording_peer_with_releases(move |message, conn| {
         if message.line.starts_with("DELETE") {
             conn.answer("204 No Content", "", "");
             return true;
@@ -394,10 +394,11 @@
     })
 }
 
-pub fn noting_all(
+/// A peer that records the first line of every request, releases included, and answers as `act` says.
+pub fn recording_peer_with_releases(
     act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<String>) {
-    let (tell, told) = news();
+    let (tell, told) = shared_channel();
     let peer = Peer::start(move |message, conn| {
         tell(message.line.clone());
         act(message, conn)
@@ -405,7 +406,7 @@
     (peer, told)
 }
 
-pub fn writer_that_releases_nothing(message: &Message, conn: &mut Conn) -> bool {
+pub fn decode_worker_without_release(message: &Message, conn: &mut Conn) -> bool {
     if message.line.starts_with("POST") {
         conn.begin_stream();
         conn.delta("one");
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -1,7 +1,7 @@
 //! The router with the fault shim loaded: system calls fail when the test says so.
 #![allow(dead_code)]
 
-use super::Conductor;
+use super::RouterProcess;
 use fault_plan::{CONTROL_VARIABLE, Control};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// A router under the shim, without any fault yet.
-pub struct ShimmedConductor {
-    pub conductor: Conductor,
+pub struct ShimmedRouter {
+    pub router: RouterProcess,
     pub control: Control,
     _control_file: ControlFile,
 }
@@ -18,16 +18,16 @@
 /// The file of a control block, removed in the end.
 pub struct ControlFile(PathBuf);
 
-impl ShimmedConductor {
-    pub fn start(operator_file: &str) -> ShimmedConductor {
+impl ShimmedRouter {
+    pub fn start(operator_file: &str) -> ShimmedRouter {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let control_file =
             std::env::temp_dir().join(format!("fault-control-{}-{number}", std::process::id()));
         let control = Control::create(&control_file).unwrap();
         let environment = [("LD_PRELOAD", shim()), (CONTROL_VARIABLE, control_file.as_path())];
-        let conductor = Conductor::start_in(1024, operator_file, &environment);
-        ShimmedConductor { conductor, control, _control_file: ControlFile(control_file) }
+        let router = RouterProcess::start_in(1024, operator_file, &environment);
+        ShimmedRouter { router, control, _control_file: ControlFile(control_file) }
     }
 }
 
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -4,19 +4,19 @@
 
 use fault_plan::Fault;
 use std::io::{BufReader, Write};
-use support::shim::ShimmedConductor;
+use support::shim::ShimmedRouter;
 use support::*;
 
 /// A router between one prefill and one decode worker, and the two.
-fn routed() -> (ShimmedConductor, [Peer; 2]) {
-    let (reader, writer) = (Peer::reader(), writer());
-    let shimmed = ShimmedConductor::start(&operator_file(&[reader.address], &[writer.address], ""));
+fn routed() -> (ShimmedRouter, [Peer; 2]) {
+    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
+    let shimmed = ShimmedRouter::start(&operator_file(&[reader.address], &[writer.address], ""));
     (shimmed, [reader, writer])
 }
 
-fn ask_all(conductor: &Conductor, requests: usize) {
+fn ask_all(router: &RouterProcess, requests: usize) {
     for number in 0..requests {
-        let answer = conductor.ask(&format!("id-{number}"), "send");
+        let answer = router.request(&format!("id-{number}"), "send");
         assert_eq!((answer.status(), answer.whole), (200, true), "request {number}: {answer:?}");
     }
 }
@@ -29,9 +29,9 @@
     for fault in [Fault::ReadInterrupted, Fault::WriteInterrupted, Fault::PollInterrupted] {
         shimmed.control.set_period(fault, 2).unwrap();
     }
-    ask_all(&shimmed.conductor, 20);
+    ask_all(&shimmed.router, 20);
     assert!(shimmed.control.count(Fault::ReadInterrupted).unwrap() > 20);
-    let counters = shimmed.conductor.stop();
+    let counters = shimmed.router.stop();
     assert_eq!(
         ["requests_received", "attempts_sent", "attempts_prefill_completed", "attempts_completed"]
             .map(|c| counters.get(c)),
@@ -43,14 +43,14 @@
 #[test]
 fn a_connection_gone_before_its_accept_costs_nobody_else_anything() {
     let (shimmed, _workers) = routed();
-    let mut kept = BufReader::new(shimmed.conductor.connect());
+    let mut kept = BufReader::new(shimmed.router.connect());
     kept.get_mut().write_all(request("kept-1", "send", "hello").as_bytes()).unwrap();
     assert_eq!(Message::read(&mut kept).unwrap().status(), 200);
     shimmed.control.set_period(Fault::AcceptAborted, 2).unwrap();
-    ask_all(&shimmed.conductor, 20);
+    ask_all(&shimmed.router, 20);
     kept.get_mut().write_all(request("kept-2", "send", "hello").as_bytes()).unwrap();
     assert_eq!(Message::read(&mut kept).unwrap_or_default().status(), 200);
-    assert_eq!(shimmed.conductor.stop().get("connections_evicted"), 0);
+    assert_eq!(shimmed.router.stop().get("connections_evicted"), 0);
 }
 
 /// Guards against workers that are blamed, and attempts that are spent, for what is wrong at this machine.
@@ -59,9 +59,9 @@
     for fault in [Fault::ConnectNoAddress, Fault::ConnectUnreachable, Fault::ConnectNoBuffers] {
         let (shimmed, _workers) = routed();
         shimmed.control.set_period(fault, 2).unwrap();
-        ask_all(&shimmed.conductor, 20);
+        ask_all(&shimmed.router, 20);
         assert!(shimmed.control.count(fault).unwrap() > 0);
-        let counters = shimmed.conductor.stop();
+        let counters = shimmed.router.stop();
         let wanted = [20, 40, 0, 0];
         let seen = ["requests_received", "attempts_sent", "attempts_connect_failed", "attempts_not_sent"]
             .map(|c| counters.get(c));
@@ -74,8 +74,8 @@
 fn a_write_that_finds_no_buffers_is_made_again() {
     let (shimmed, _workers) = routed();
     shimmed.control.set_period(Fault::WriteNoBuffers, 2).unwrap();
-    ask_all(&shimmed.conductor, 20);
-    assert_eq!(shimmed.conductor.stop().get("attempts_completed"), 20);
+    ask_all(&shimmed.router, 20);
+    assert_eq!(shimmed.router.stop().get("attempts_completed"), 20);
 }
 
 /// Guards against news that was left in the system's buffer: the runtime took a short read for all that had come.
@@ -93,13 +93,13 @@
         }
         false
     });
-    let (reader, writer) = (Peer::reader(), writer());
+    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
     let at = format!("discovery = \"{}\"\n", agent.address);
-    let shimmed = ShimmedConductor::start(&operator_file(&[reader.address], &[writer.address], &at));
+    let shimmed = ShimmedRouter::start(&operator_file(&[reader.address], &[writer.address], &at));
     shimmed.control.set_period(Fault::ShortRead, 1).unwrap();
-    ask_all(&shimmed.conductor, 1);
+    ask_all(&shimmed.router, 1);
     let entry = r#"{"host":"answer-0","class":"answer","site":"here","health":"draining"}"#;
     lines.send(format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{entry}]}}\n")).unwrap();
-    shimmed.conductor.wait_for("answer-0 (answer, here, cell 0) is Draining");
-    assert_eq!(shimmed.conductor.ask("id-late", "send").status(), 503);
+    shimmed.router.wait_for("answer-0 (answer, here, cell 0) is Draining");
+    assert_eq!(shimmed.router.request("id-late", "send").status(), 503);
 }
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -108,10 +108,10 @@
 ) {
     let tool = Tool::start(move || tool.to_owned());
     let writer = writer(CALL);
-    let reader = Peer::reader();
+    let reader = Peer::prefill_worker();
     let file = operator_file(&[reader.address], &[writer.address], &tools(tool.peer.address, limits));
-    let conductor = Conductor::start(&file);
-    let answer = conductor.rpc(&ask("r1", ""));
+    let router = RouterProcess::start(&file);
+    let answer = router.rpc(&ask("r1", ""));
     assert_eq!((answer.status(), answer.whole), (200, true), "{}", answer.text());
     let lines: Vec<String> = answer.text().lines().map(str::to_owned).collect();
     assert_eq!(lines.len(), 5, "{lines:?}");
@@ -133,10 +133,10 @@
 fn a_tool_that_does_not_answer_is_an_explicit_error(#[case] listens: bool, #[case] to_writer: &str) {
     let silent = Peer::start(|_, conn| !conn.is_closed());
     let dial = if listens { silent.address } else { Peer::nobody() };
-    let (writer, reader) = (writer(CALL), Peer::reader());
+    let (writer, reader) = (writer(CALL), Peer::prefill_worker());
     let file = operator_file(&[reader.address], &[writer.address], &tools(dial, "call_timeout_ms = 300"));
-    let conductor = Conductor::start(&file);
-    let answer = conductor.rpc(&ask("r1", "")).text();
+    let router = RouterProcess::start(&file);
+    let answer = router.rpc(&ask("r1", "")).text();
     assert!(answer.contains(to_writer), "{answer}");
 }
 
@@ -181,17 +181,20 @@
 )]
 fn json_rpc_is_kept_to_the_letter(#[case] body: &str, #[case] status: u16, #[case] wanted: &str) {
     let file = operator_file(&[Peer::nobody()], &[Peer::nobody()], &tools(Peer::nobody(), ""));
-    let answer = Conductor::start(&file).rpc(body);
+    let answer = RouterProcess::start(&file).rpc(body);
     assert_eq!((answer.status(), answer.text().trim_end()), (status, wanted));
 }
 
 #[test]
 fn a_batch_is_answered_in_one_array() {
     let tool = Tool::start(|| r#""result":1"#.into());
-    let (writer, reader) = (writer(CALL), Peer::reader());
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address], &[writer.address], &tools(tool.peer.address, "")));
-    let answer = conductor.rpc(&format!("[{},{{}},{}]", ask("b1", ""), ask("b2", ""))).text();
+    let (writer, reader) = (writer(CALL), Peer::prefill_worker());
+    let router = RouterProcess::start(&operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(tool.peer.address, ""),
+    ));
+    let answer = router.rpc(&format!("[{},{{}},{}]", ask("b1", ""), ask("b2", ""))).text();
     assert_eq!(answer.matches(r#""finish":"stop","calls":1,"text":"before "#).count(), 2, "{answer}");
     assert!(answer.contains(r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600"#), "{answer}");
 }
@@ -208,10 +211,13 @@
         }
         false
     });
-    let reader = Peer::reader();
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address], &[writer.address], &tools(Peer::nobody(), "")));
-    let mut stream = conductor.connect();
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(Peer::nobody(), ""),
+    ));
+    let mut stream = router.connect();
     stream.write_all(rpc_request(&ask("c1", "")).as_bytes()).unwrap();
     let mut from = BufReader::new(stream);
     let mut line = String::new();
@@ -220,11 +226,8 @@
         from.read_line(&mut line).unwrap();
     }
     // The same name again, while its stream runs, is no second request.
-    assert_eq!(conductor.rpc(&ask("c1", "")).status(), 409);
-    assert_eq!(
-        conductor.rpc(r#"{"jsonrpc":"2.0","method":"cancel","params":{"request":"c1"}}"#).status(),
-        204
-    );
+    assert_eq!(router.rpc(&ask("c1", "")).status(), 409);
+    assert_eq!(router.rpc(r#"{"jsonrpc":"2.0","method":"cancel","params":{"request":"c1"}}"#).status(), 204);
     while !line.contains("cancelled") {
         line.clear();
         assert!(from.read_line(&mut line).unwrap() > 0, "no response");
@@ -325,21 +328,21 @@
             true
         })
     };
-    let (writers, reader) = ([start(), start(), start()], Peer::reader());
+    let (writers, reader) = ([start(), start(), start()], Peer::prefill_worker());
     let all = writers.each_ref().map(|w| w.address);
-    let conductor = Conductor::start(&operator_file(&[reader.address], &all, &tools(tool.peer.address, "")));
+    let router = RouterProcess::start(&operator_file(&[reader.address], &all, &tools(tool.peer.address, "")));
     for i in 0..KILLS {
         let name = format!("kill-{i}");
         while tool_at_work.lock().unwrap().try_recv().is_ok() {}
         let next = points[i as usize % points.len()];
         *gate.0.lock().unwrap() = next == ToolHeld;
         *point.lock().unwrap() = next;
-        let first = conductor.rpc(&ask(&name, ""));
+        let first = router.rpc(&ask(&name, ""));
         assert!(!first.whole && first.text().contains("before "), "{i}: {}", first.text());
         let mut rest = Message::default();
         // The writers that died are set aside for a while; their client comes back until it is served.
         while rest.status() != 200 {
-            rest = conductor.rpc(&ask(&name, r#","resume":{"calls":0,"text":"before "}"#));
+            rest = router.rpc(&ask(&name, r#","resume":{"calls":0,"text":"before "}"#));
         }
         assert!(rest.whole && rest.text().contains(r#""text":"after""#), "{i}: {}", rest.text());
     }
@@ -374,11 +377,14 @@
         }
         !first
     });
-    let reader = Peer::reader();
-    let conductor =
-        Conductor::start(&operator_file(&[reader.address], &[writer.address], &tools(tool.peer.address, "")));
-    assert!(!conductor.rpc(&ask("k1", "")).whole);
-    let rest = conductor.rpc(&ask("k1", r#","resume":{"calls":0,"text":""}"#)).text();
+    let reader = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(
+        &[reader.address],
+        &[writer.address],
+        &tools(tool.peer.address, ""),
+    ));
+    assert!(!router.rpc(&ask("k1", "")).whole);
+    let rest = router.rpc(&ask("k1", r#","resume":{"calls":0,"text":""}"#)).text();
     assert!(rest.contains("'code':-32012"), "{rest}");
     assert_eq!(tool.runs.lock().unwrap().values().sum::<u32>(), 1);
 }
@@ -390,8 +396,8 @@
 #[case::batch_before_its_first_event(true, false)]
 #[case::batch_in_the_middle_of_its_stream(true, true)]
 fn a_client_that_leaves_takes_its_requests_along(#[case] batch: bool, #[case] streams: bool) {
-    let (reached, reaches) = news();
-    let (closed, closes) = news();
+    let (reached, reaches) = shared_channel();
+    let (closed, closes) = shared_channel();
     let act = move |_: &Message, conn: &mut Conn| {
         if streams {
             conn.begin_stream();
@@ -401,19 +407,19 @@
         closed(conn.is_closed().to_string());
         false
     };
-    let (worker, lines) = noting(act);
-    let reader = Peer::reader();
+    let (worker, lines) = recording_peer(act);
+    let reader = Peer::prefill_worker();
     let readers = if streams { reader.address } else { worker.address };
     let tool = Tool::start(String::new);
     let file = operator_file(&[readers], &[worker.address], &tools(tool.peer.address, ""));
-    let conductor = Conductor::start(&file);
-    let mut client = conductor.connect();
+    let router = RouterProcess::start(&file);
+    let mut client = router.connect();
     let one = ask("r-1", "");
     let message = if batch { format!("[{one}]") } else { one };
     client.write_all(rpc_request(&message).as_bytes()).unwrap();
     reaches.recv().unwrap();
     drop(client);
     assert_eq!(closes.recv().unwrap(), "true");
-    assert_eq!(conductor.stop().get("client_disconnects"), 1);
+    assert_eq!(router.stop().get("client_disconnects"), 1);
     assert_eq!(lines.try_iter().filter(|line| line.starts_with("POST")).count(), 1);
 }
