--- a/src/main.rs
+++ b/src/main.rs
@@ -186,14 +186,13 @@
         }),
         poll_requested,
         dial: dial_tcp(),
-        pace: Backoff::new(&settings, config.seed),
-        agent_version: Cell::default(),
+        backoff: Backoff::new(&settings, config.seed),
         counters: counters.clone(),
     };
-    follower.take(std::mem::take(&mut config.known), UpdateKind::Restored);
+    follower.apply(std::mem::take(&mut config.known), UpdateKind::Restored);
     tokio::task::spawn_local(driver.run(queue));
     let (discovery, address_told) = watch::channel(config.discovery);
-    tokio::task::spawn_local(follower.follow(address_told));
+    tokio::task::spawn_local(follower.run(address_told));
     let stopping = Rc::new(Cell::new(false));
     let ready = {
         let (directory, stopping, kinds) =
--- /dev/null
+++ b/src/net/discovery/client.rs
@@ -0,0 +1,99 @@
+//! HTTP calls to discovery.
+
+use super::MAX_MESSAGE_BYTES;
+use super::dial::Dial;
+use super::error::DiscoveryError;
+use super::messages::ListMessage;
+use super::update::EndpointUpdate;
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const LIST_PATH: &str = "/v1/servers";
+
+/// Calls one discovery agent, each time on a connection of its own.
+pub struct DiscoveryClient {
+    address: SocketAddr,
+    dial: Dial,
+    call_timeout: Duration,
+}
+
+impl DiscoveryClient {
+    /// A client of the agent at an address, whose calls are given up after `call_timeout`.
+    pub fn new(address: SocketAddr, dial: Dial, call_timeout: Duration) -> Self {
+        DiscoveryClient { address, dial, call_timeout }
+    }
+
+    /// Fetches the complete list. The timeout covers the call from the connection to the last byte.
+    pub async fn poll(&self) -> Result<EndpointUpdate, DiscoveryError> {
+        self.within_timeout(LIST_PATH, self.fetch_list()).await
+    }
+
+    /// Opens a watch of the changes after a sequence number. The timeout covers the call up to the response's head.
+    pub async fn open_watch(&self, after: u64) -> Result<Incoming, DiscoveryError> {
+        let target = format!("{LIST_PATH}?watch=1&after={after}");
+        let response = self.within_timeout(&target, self.get(&target)).await?;
+        Ok(response.into_body())
+    }
+
+    async fn within_timeout<T>(
+        &self,
+        target: &str,
+        call: impl Future<Output = Result<T, DiscoveryError>>,
+    ) -> Result<T, DiscoveryError> {
+        let timeout = self.call_timeout;
+        tokio::time::timeout(timeout, call).await.unwrap_or_else(|_| {
+            Err(DiscoveryError::CallTimedOut { address: self.address, target: target.to_owned(), timeout })
+        })
+    }
+
+    async fn fetch_list(&self) -> Result<EndpointUpdate, DiscoveryError> {
+        let response = self.get(LIST_PATH).await?;
+        let body = read_body(response.into_body()).await?;
+        let message: ListMessage = serde_json::from_slice(&body).map_err(DiscoveryError::Parse)?;
+        // The answer to a poll is the complete list, whether it says so or not.
+        Ok(EndpointUpdate { complete: true, ..message.into() })
+    }
+
+    /// Sends a request and returns its response once the head has come. The connection runs in a task of its own, which
+    /// ends by itself when the response is dropped, or this future before there is one.
+    async fn get(&self, target: &str) -> Result<Response<Incoming>, DiscoveryError> {
+        let address = self.address;
+        let stream =
+            (self.dial)(address).await.map_err(|source| DiscoveryError::Connect { address, source })?;
+        let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
+            .await
+            .map_err(|source| DiscoveryError::Handshake { address, source })?;
+        tokio::task::spawn_local(connection);
+        let request = Request::get(target)
+            .header("host", "discovery")
+            .body(Empty::<Bytes>::new())
+            .map_err(|source| DiscoveryError::BuildRequest { target: target.to_owned(), source })?;
+        let response = sender.send_request(request).await.map_err(|source| DiscoveryError::Request {
+            address,
+            target: target.to_owned(),
+            source,
+        })?;
+        match response.status() {
+            StatusCode::OK => Ok(response),
+            status => Err(DiscoveryError::Status { address, target: target.to_owned(), status }),
+        }
+    }
+}
+
+async fn read_body(mut body: Incoming) -> Result<BytesMut, DiscoveryError> {
+    let mut bytes = BytesMut::new();
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame.map_err(DiscoveryError::Body)?.into_data() else { continue };
+        if bytes.len() + data.len() > MAX_MESSAGE_BYTES {
+            return Err(DiscoveryError::MessageTooLong { limit: MAX_MESSAGE_BYTES });
+        }
+        bytes.extend_from_slice(&data);
+    }
+    Ok(bytes)
+}
--- /dev/null
+++ b/src/net/discovery/watcher.rs
@@ -0,0 +1,156 @@
+//! The loop that keeps the router's endpoint list up to date.
+
+use super::agent::AgentState;
+use super::backoff::Backoff;
+use super::client::DiscoveryClient;
+use super::dial::Dial;
+use super::directory::Directory;
+use super::error::DiscoveryError;
+use super::update::EndpointUpdate;
+use super::watch::read_watch;
+use crate::interface::{Endpoint, UpdateKind, WorkerId};
+use crate::runtime::counters::Counters;
+use crate::runtime::{DriverHandle, DriverInput};
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::{Notify, watch};
+
+/// Watches discovery for as long as the router runs.
+pub struct EndpointWatcher {
+    /// The list that is kept up to date.
+    pub directory: Rc<Directory>,
+    /// The driver that is notified of updates.
+    pub driver: DriverHandle,
+    /// Called for workers whose idle connections are of no more use.
+    pub close_idle_connections: Box<dyn Fn(&WorkerId)>,
+    /// Requests a poll of the complete list beside the watch.
+    pub poll_requested: Rc<Notify>,
+    /// Connects to discovery.
+    pub dial: Dial,
+    /// Delays and timeouts of calls.
+    pub backoff: Backoff,
+    /// The router's counters.
+    pub counters: Rc<Counters>,
+}
+
+impl EndpointWatcher {
+    /// Applies an update to the directory, closes the idle connections that it makes useless, and notifies the driver.
+    pub fn apply(&self, update: EndpointUpdate, kind: UpdateKind) {
+        log_endpoints(&update, kind);
+        for worker in self.directory.apply(&update) {
+            (self.close_idle_connections)(&worker);
+        }
+        let endpoints = update.endpoints.into_iter().map(|listed| listed.endpoint).collect();
+        self.driver.submit(DriverInput::EndpointsUpdated { kind, endpoints });
+    }
+
+    /// Watches the agent at `address` until the sender of the address is dropped.
+    ///
+    /// A watch that fails is opened again after a delay, from the sequence number that was reached. When the address
+    /// changes, the call or watch under way is given up at once and the new agent is called instead. Dropping the future
+    /// stops the watch; the directory keeps the list.
+    pub async fn run(self, mut address: watch::Receiver<Option<SocketAddr>>) {
+        let agent = AgentState::default();
+        if let Some(delay) = self.backoff.initial_delay() {
+            tokio::time::sleep(delay).await;
+        }
+        loop {
+            let Some(current) = *address.borrow_and_update() else {
+                if address.changed().await.is_err() {
+                    return;
+                }
+                continue;
+            };
+            let Err(error) = tokio::select! {
+                // Biased: once the address has changed, nothing that the old agent still sends may be applied.
+                biased;
+                changed = address.changed() => {
+                    if changed.is_err() {
+                        return;
+                    }
+                    agent.reset();
+                    continue;
+                }
+                failed = self.poll_and_watch(current, &agent) => failed,
+            };
+            self.record_failure(&error, &agent);
+            let delay = self.backoff.delay(agent.failures(), error.silent_for());
+            tokio::select! {
+                // A new agent is called without waiting for the delay, which is for the old one's sake.
+                _ = address.changed() => agent.reset(),
+                () = tokio::time::sleep(delay) => {}
+            }
+        }
+    }
+
+    fn record_failure(&self, error: &DiscoveryError, agent: &AgentState) {
+        self.counters.watches_lost.increment();
+        // An outage may last long: only its first failure is a warning.
+        let level = if agent.failures() == 0 { log::Level::Warn } else { log::Level::Debug };
+        log::log!(level, "discovery: {error}; the current endpoint list stays in use");
+        agent.record_failure();
+        let kind = UpdateKind::Unavailable;
+        self.driver.submit(DriverInput::EndpointsUpdated { kind, endpoints: Vec::new() });
+    }
+
+    /// Polls the complete list if the agent is new, then watches until something fails.
+    async fn poll_and_watch(
+        &self,
+        address: SocketAddr,
+        agent: &AgentState,
+    ) -> Result<Infallible, DiscoveryError> {
+        let client = DiscoveryClient::new(address, self.dial.clone(), self.backoff.call_timeout());
+        if agent.needs_snapshot() {
+            let snapshot = client.poll().await?;
+            if snapshot.endpoints.is_empty() {
+                return Err(DiscoveryError::EmptySnapshot);
+            }
+            self.apply_from_agent(snapshot, agent);
+            agent.record_snapshot();
+        }
+        let body = client.open_watch(self.directory.sequence()).await?;
+        if agent.record_watch_opened() > 0 {
+            log::info!("discovery: watching again after sequence {}", self.directory.sequence());
+        }
+        // Neither side may wait for the other: the watch goes on while a poll is under way, and the failure of either ends
+        // both. A poll that is cancelled with its watch is not repeated; the driver learns that discovery is unavailable.
+        tokio::select! {
+            failed = read_watch(body, |message| self.apply_from_agent(message.into(), agent)) => failed,
+            failed = self.poll_on_request(&client, agent) => failed,
+        }
+    }
+
+    /// Polls the complete list each time the policy requests it, until a poll fails.
+    async fn poll_on_request(
+        &self,
+        client: &DiscoveryClient,
+        agent: &AgentState,
+    ) -> Result<Infallible, DiscoveryError> {
+        loop {
+            self.poll_requested.notified().await;
+            let snapshot = client.poll().await?;
+            self.apply_from_agent(snapshot, agent);
+        }
+    }
+
+    /// Applies an update that the present agent sent, unless it has to be ignored.
+    fn apply_from_agent(&self, mut update: EndpointUpdate, agent: &AgentState) {
+        if let Err(reason) = agent.accept(&update) {
+            log::warn!("discovery: ignoring an update: {reason}");
+            return;
+        }
+        self.directory.mark_withdrawn_as_draining(&mut update);
+        let kind = update.kind();
+        self.apply(update, kind);
+    }
+}
+
+/// Logs each worker of an update. Complete lists are long and mostly known, so they are logged at a lower level.
+fn log_endpoints(update: &EndpointUpdate, kind: UpdateKind) {
+    let level = if kind == UpdateKind::Delta { log::Level::Info } else { log::Level::Debug };
+    for listed in &update.endpoints {
+        let Endpoint { worker, zone, kind, cell, status, .. } = &listed.endpoint;
+        log::log!(level, "discovery: {} ({kind}, {zone}, cell {cell}) is {status:?}", worker.0);
+    }
+}
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use llm_router::interface::*;
-use llm_router::net::discovery::{Directory, EndpointUpdate};
+use llm_router::net::discovery::{AddressedEndpoint, Directory, EndpointUpdate};
 use llm_router::net::upstream::client::UpstreamClient;
 use llm_router::net::upstream::pool::{Pool, PoolLimits};
 use llm_router::runtime::counters::Counters;
@@ -50,12 +50,12 @@
                 weight: 1.0,
                 started_at: None,
             };
-            (entry, Some(*address))
+            AddressedEndpoint { endpoint: entry, address: Some(*address) }
         };
         directory.apply(&EndpointUpdate {
-            seq: 1,
-            whole: true,
-            entries: workers.iter().map(entry).collect(),
+            sequence: 1,
+            complete: true,
+            endpoints: workers.iter().map(entry).collect(),
         });
         let counters = Rc::<Counters>::default();
         let time = Duration::from_secs(10);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! Following discovery, on a paused clock and over pipes in memory: whatever fails, a change is known in time.
 
 use llm_router::interface::Settings;
-use llm_router::net::discovery::{Backoff, Dial, Directory, EndpointWatcher, Stream};
+use llm_router::net::discovery::{Backoff, Dial, Directory, DiscoveryStream, EndpointWatcher};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
 use std::cell::Cell;
@@ -67,7 +67,7 @@
                 tokio::task::spawn_local(async move {
                     let _ = agent.serve(theirs, meets).await;
                 });
-                Ok(Box::new(ours) as Box<dyn Stream>)
+                Ok(Box::new(ours) as Box<dyn DiscoveryStream>)
             })
         })
     }
@@ -118,14 +118,13 @@
             close_idle_connections: Box::new(|_| {}),
             poll_requested: Rc::default(),
             dial: agent.clone().dial(),
-            pace: Backoff::new(settings, seed),
-            agent_version: Cell::default(),
+            backoff: Backoff::new(settings, seed),
             counters: Rc::default(),
         };
         let (at, address) = watch::channel("127.0.0.1:1".parse().ok());
         tokio::task::spawn_local(async move {
             let _at = at;
-            follower.follow(address).await;
+            follower.run(address).await;
         });
         Told { driver: queue }
     }
@@ -239,13 +238,13 @@
     for (failures, silent, longest) in most {
         let mut calls = [0; 10];
         for router in 0..100 {
-            let pause = Backoff::new(&settings(true), router).pause(failures, silent).as_secs_f64();
+            let pause = Backoff::new(&settings(true), router).delay(failures, silent).as_secs_f64();
             calls[(pause / longest * 10.0) as usize] += 1;
         }
         assert!(calls.iter().all(|n| (2..=20).contains(n)), "after {failures} failures: {calls:?}");
     }
     // An agent that is asked for nothing but its own list is asked again soon.
-    let soon = |router| Backoff::new(&settings(false), router).pause(40, answered) < Duration::from_secs(1);
+    let soon = |router| Backoff::new(&settings(false), router).delay(40, answered) < Duration::from_secs(1);
     assert!((0..100).all(soon));
 }
 
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -1,7 +1,7 @@
 //! Following discovery where the order of events matters: the test is the agent, one step at a time.
 
 use llm_router::interface::{Settings, UpdateKind, WorkerId};
-use llm_router::net::discovery::{Backoff, Dial, Directory, EndpointWatcher, Stream};
+use llm_router::net::discovery::{Backoff, Dial, Directory, DiscoveryStream, EndpointWatcher};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
 use std::cell::Cell;
@@ -95,7 +95,7 @@
                 }
                 let (ours, stream) = tokio::io::duplex(64 * 1024);
                 let _ = called.send(Call { to, stream });
-                Ok(Box::new(ours) as Box<dyn Stream>)
+                Ok(Box::new(ours) as Box<dyn DiscoveryStream>)
             })
         });
         let follower = EndpointWatcher {
@@ -104,12 +104,11 @@
             close_idle_connections: Box::new(|_| {}),
             poll_requested: poll_requested.clone(),
             dial,
-            pace: Backoff::new(&Settings { replica_count: 3, ..Settings::default() }, 1),
-            agent_version: Cell::default(),
+            backoff: Backoff::new(&Settings { replica_count: 3, ..Settings::default() }, 1),
             counters: Rc::default(),
         };
         let (address, addresses) = watch::channel(Some(address(OLD_AGENT)));
-        tokio::task::spawn_local(follower.follow(addresses));
+        tokio::task::spawn_local(follower.run(addresses));
         Following { calls, driver: queue, directory, poll_requested, address, connects }
     }
 
