--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,10 +1,11 @@
-//! Following discovery, on a paused clock and over pipes in memory: whatever fails, a change is known in time.
+//! Watching discovery on a paused clock and over pipes in memory: whatever fails, a change arrives in time.
 
 use llm_router::interface::Settings;
-use llm_router::net::discovery::{Backoff, Dial, Directory, DiscoveryStream, EndpointWatcher};
+use llm_router::net::discovery::{
+    Backoff, Dial, Directory, DiscoveryStream, EndpointUpdate, EndpointWatcher, ListMessage,
+};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
-use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,107 +13,113 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A change counts as told this long after discovery had it and could be reached.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+/// The driver has to be notified of a change this long after discovery had it and could be reached.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+/// The agent writes a line at least this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The change that all agents of these tests have at some time.
 const CHANGE: &str = "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"answer-9\",\"dial\":\"127.0.0.1:1\",\
                       \"class\":\"answer\",\"health\":\"ready\"}]}";
 
-/// How discovery meets a call.
+/// How an agent reacts to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Meets {
-    Refused,
-    Unanswered,
-    With503,
-    /// Answered after so long.
-    Answered(Duration),
+enum Reaction {
+    RefuseConnection,
+    NoResponse,
+    RespondWith503,
+    /// Respond after so long.
+    RespondAfter(Duration),
 }
 
-/// A discovery in memory.
+const RESPOND_AT_ONCE: Reaction = Reaction::RespondAfter(Duration::ZERO);
+
+/// A discovery agent in memory. All its times are counted from its start.
 struct Agent {
-    began: Instant,
-    /// How it meets a call that begins so long after the start.
-    meets: Box<dyn Fn(Duration) -> Meets>,
+    started: Instant,
+    /// The reaction to a call that begins at this time.
+    reaction: Box<dyn Fn(Duration) -> Reaction>,
     /// From when on it has the change.
-    has: Duration,
-    /// The watches opened by then say nothing more from then on.
-    silent: Option<Duration>,
-    /// How the change is written.
-    pieces: Vec<String>,
-    calls: Cell<usize>,
+    change_at: Duration,
+    /// Watches opened before this say nothing more from then on.
+    silent_at: Option<Duration>,
+    /// The chunks in which the change is written.
+    chunks: Vec<String>,
 }
 
 impl Agent {
-    fn new(has: Duration, meets: impl Fn(Duration) -> Meets + 'static) -> Agent {
-        let pieces = vec![format!("{CHANGE}\n")];
+    fn new(change_at: Duration, reaction: impl Fn(Duration) -> Reaction + 'static) -> Agent {
         Agent {
-            began: Instant::now(),
-            meets: Box::new(meets),
-            has,
-            silent: None,
-            pieces,
-            calls: Cell::new(0),
+            started: Instant::now(),
+            reaction: Box::new(reaction),
+            change_at,
+            silent_at: None,
+            chunks: vec![format!("{CHANGE}\n")],
         }
     }
 
     fn dial(self: Rc<Self>) -> Dial {
         Rc::new(move |_| {
             let agent = self.clone();
-            agent.calls.set(agent.calls.get() + 1);
             Box::pin(async move {
-                let meets = (agent.meets)(agent.began.elapsed());
-                if meets == Meets::Refused {
+                let reaction = (agent.reaction)(agent.started.elapsed());
+                if reaction == Reaction::RefuseConnection {
                     return Err(io::Error::from(io::ErrorKind::ConnectionRefused));
                 }
-                let (ours, theirs) = tokio::io::duplex(64 * 1024);
+                let (client_end, agent_end) = tokio::io::duplex(64 * 1024);
                 tokio::task::spawn_local(async move {
-                    let _ = agent.serve(theirs, meets).await;
+                    let _ = agent.serve(agent_end, reaction).await;
                 });
-                Ok(Box::new(ours) as Box<dyn DiscoveryStream>)
+                Ok(Box::new(client_end) as Box<dyn DiscoveryStream>)
             })
         })
     }
 
-    async fn serve(&self, mut stream: DuplexStream, meets: Meets) -> io::Result<()> {
-        let opened = self.began.elapsed();
-        let mut asked = Vec::new();
-        while !asked.ends_with(b"\r\n\r\n") {
-            asked.push(stream.read_u8().await?);
+    async fn serve(&self, mut stream: DuplexStream, reaction: Reaction) -> io::Result<()> {
+        let opened_at = self.started.elapsed();
+        let mut request = Vec::new();
+        while !request.ends_with(b"\r\n\r\n") {
+            request.push(stream.read_u8().await?);
         }
-        match meets {
-            Meets::Refused | Meets::Unanswered => std::future::pending().await,
-            Meets::With503 => {
+        match reaction {
+            Reaction::RefuseConnection | Reaction::NoResponse => std::future::pending().await,
+            Reaction::RespondWith503 => {
                 return stream.write_all(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n").await;
             }
-            Meets::Answered(after) => sleep(after).await,
+            Reaction::RespondAfter(delay) => sleep(delay).await,
         }
         stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
-        let mut told = false;
+        self.serve_watch(stream, opened_at).await
+    }
+
+    async fn serve_watch(&self, mut stream: DuplexStream, opened_at: Duration) -> io::Result<()> {
+        let mut change_sent = false;
         loop {
-            if self.silent.is_some_and(|at| opened < at && self.began.elapsed() >= at) {
+            if self.silent_at.is_some_and(|at| opened_at < at && self.started.elapsed() >= at) {
                 return std::future::pending().await;
             }
-            let due = !told && self.began.elapsed() >= self.has;
-            let lines = if due { self.pieces.clone() } else { vec!["\n".to_owned()] };
-            told |= due;
-            for piece in lines {
-                stream.write_all(format!("{:x}\r\n{piece}\r\n", piece.len()).as_bytes()).await?;
+            let change_due = !change_sent && self.started.elapsed() >= self.change_at;
+            let chunks = if change_due { self.chunks.clone() } else { vec!["\n".to_owned()] };
+            change_sent |= change_due;
+            for chunk in chunks {
+                stream.write_all(format!("{:x}\r\n{chunk}\r\n", chunk.len()).as_bytes()).await?;
                 sleep(Duration::from_millis(1)).await;
             }
-            let next = Instant::now() + Duration::from_secs(2);
-            let has = self.began + self.has;
-            sleep_until(if told || has <= Instant::now() { next } else { next.min(has) }).await;
+            let heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
+            let change = self.started + self.change_at;
+            let change_is_next = !change_sent && change > Instant::now();
+            sleep_until(if change_is_next { heartbeat.min(change) } else { heartbeat }).await;
         }
     }
 }
 
-struct Told {
-    driver: mpsc::UnboundedReceiver<DriverInput>,
-}
+/// What the driver receives from a watcher.
+struct DriverInputs(mpsc::UnboundedReceiver<DriverInput>);
 
-impl Told {
-    fn follow(agent: &Rc<Agent>, settings: &Settings, seed: u64) -> Told {
-        let (driver, queue) = DriverHandle::channel(Clock::start());
-        let follower = EndpointWatcher {
+impl DriverInputs {
+    /// Starts a watcher of this agent.
+    fn of_watcher(agent: &Rc<Agent>, settings: &Settings, seed: u64) -> DriverInputs {
+        let (driver, inputs) = DriverHandle::channel(Clock::start());
+        let watcher = EndpointWatcher {
             directory: Rc::new(Directory::default()),
             driver,
             close_idle_connections: Box::new(|_| {}),
@@ -121,23 +128,24 @@
             backoff: Backoff::new(settings, seed),
             counters: Rc::default(),
         };
-        let (at, address) = watch::channel("127.0.0.1:1".parse().ok());
+        let (address_sender, address) = watch::channel("127.0.0.1:1".parse().ok());
         tokio::task::spawn_local(async move {
-            let _at = at;
-            follower.run(address).await;
+            // The watcher ends once the sender is dropped.
+            let _address_sender = address_sender;
+            watcher.run(address).await;
         });
-        Told { driver: queue }
+        DriverInputs(inputs)
     }
 
-    /// Waits until the core has heard of the change.
+    /// Waits until the driver is notified of the change.
     async fn change(&mut self) {
-        let news = |input: &DriverInput| match input {
-            DriverInput::EndpointsUpdated { endpoints: entries, .. } => {
-                entries.iter().any(|e| *e.worker.0 == *"answer-9")
+        let has_change = |input: &DriverInput| match input {
+            DriverInput::EndpointsUpdated { endpoints, .. } => {
+                endpoints.iter().any(|endpoint| *endpoint.worker.0 == *"answer-9")
             }
             _ => false,
         };
-        while !news(&self.driver.recv().await.expect("the follower ended")) {}
+        while !has_change(&self.0.recv().await.expect("the watcher ended")) {}
     }
 }
 
@@ -145,123 +153,126 @@
     Settings { watch_required, replica_count: 300, ..Settings::default() }
 }
 
-async fn told_within(agent: Agent, watch_required: bool, seed: u64) -> Duration {
-    let (has, agent) = (agent.began + agent.has, Rc::new(agent));
-    let whole = async {
-        let mut told = Told::follow(&agent, &settings(watch_required), seed);
-        timeout(Duration::from_secs(600), told.change()).await.expect("never told");
-        Instant::now().saturating_duration_since(has)
+/// How long after the agent had the change the driver was notified of it.
+async fn notification_delay(agent: Agent, watch_required: bool, seed: u64) -> Duration {
+    let (change_at, agent) = (agent.started + agent.change_at, Rc::new(agent));
+    let notified = async {
+        let mut inputs = DriverInputs::of_watcher(&agent, &settings(watch_required), seed);
+        timeout(Duration::from_secs(600), inputs.change()).await.expect("the driver was never notified");
+        Instant::now().saturating_duration_since(change_at)
     };
-    tokio::task::LocalSet::new().run_until(whole).await
+    tokio::task::LocalSet::new().run_until(notified).await
 }
 
-const AT_ONCE: Meets = Meets::Answered(Duration::ZERO);
-
-/// Guards against a watch that is waited for longer than what it misses may take.
+/// Guards against a dead watch that is noticed too late for the changes that it misses.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn what_a_watch_fallen_silent_misses_is_known_in_time(#[values(false, true)] watch_required: bool) {
+async fn change_missed_by_a_silent_watch_arrives_in_time(#[values(false, true)] watch_required: bool) {
     for seed in 0..20 {
-        let silent = Duration::from_millis(7_000 + 97 * seed);
-        let agent = Agent { silent: Some(silent), ..Agent::new(silent, |_| AT_ONCE) };
-        let after = told_within(agent, watch_required, seed).await;
-        assert!(after <= TOLD_WITHIN, "{after:?}, seed {seed}");
+        let silent_at = Duration::from_millis(7_000 + 97 * seed);
+        let agent = Agent { silent_at: Some(silent_at), ..Agent::new(silent_at, |_| RESPOND_AT_ONCE) };
+        let delay = notification_delay(agent, watch_required, seed).await;
+        assert!(delay <= UPDATE_DEADLINE, "{delay:?}, seed {seed}");
     }
 }
 
-/// Guards against pauses that grow past what a change may take, and against a call left hanging in an outage.
+/// Guards against backoff that grows past the deadline of an update, and against a call left hanging in an outage.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn after_an_outage_a_change_is_known_in_time(
-    #[values(Meets::Refused, Meets::Unanswered, Meets::With503)] meets: Meets,
+async fn change_during_an_outage_arrives_in_time(
+    #[values(Reaction::RefuseConnection, Reaction::NoResponse, Reaction::RespondWith503)] outage: Reaction,
     #[values(false, true)] watch_required: bool,
     #[values(3, 8, 45)] seconds: u64,
 ) {
     for seed in 0..10 {
-        let back = Duration::from_millis(seconds * 1_000 + 131 * seed);
-        let agent = Agent::new(back, move |at| if at < back { meets } else { AT_ONCE });
-        let after = told_within(agent, watch_required, seed).await;
-        assert!(after <= TOLD_WITHIN, "{after:?}, seed {seed}");
+        let outage_end = Duration::from_millis(seconds * 1_000 + 131 * seed);
+        let reaction = move |at| if at < outage_end { outage } else { RESPOND_AT_ONCE };
+        let delay = notification_delay(Agent::new(outage_end, reaction), watch_required, seed).await;
+        assert!(delay <= UPDATE_DEADLINE, "{delay:?}, seed {seed}");
     }
 }
 
-/// Guards against a pause in the moment in which a silent agent speaks again: what it has then counts as told at once,
-/// and drains are kept within a quarter of a second.
+/// Guards against backoff at the moment at which a silent agent responds again: a router counts as notified at once of
+/// what the agent has then, and has a quarter of a second to stop sending to workers that drain.
 #[tokio::test(start_paused = true)]
-async fn what_the_agent_learns_at_its_return_is_known_at_once() {
-    let (silent, back) = (Duration::from_secs(2), Duration::from_secs(8));
+async fn change_at_the_agents_return_arrives_at_once() {
+    let (silent_at, return_at) = (Duration::from_secs(2), Duration::from_secs(8));
     for seed in 0..100 {
-        // Calls that wait are answered at its return.
-        let meets = move |at: Duration| match at < silent {
-            true => AT_ONCE,
-            false => Meets::Answered(back.saturating_sub(at)),
+        // Calls that are waiting are answered when the agent returns.
+        let reaction = move |at: Duration| match at < silent_at {
+            true => RESPOND_AT_ONCE,
+            false => Reaction::RespondAfter(return_at.saturating_sub(at)),
         };
-        let agent = Agent { silent: Some(silent), ..Agent::new(back, meets) };
-        let after = told_within(agent, false, seed).await;
-        assert!(after <= Duration::from_millis(250), "{after:?}, seed {seed}");
+        let agent = Agent { silent_at: Some(silent_at), ..Agent::new(return_at, reaction) };
+        let delay = notification_delay(agent, false, seed).await;
+        assert!(delay <= Duration::from_millis(250), "{delay:?}, seed {seed}");
     }
 }
 
-/// Guards against a call given up before its turn at a discovery that is one service for all.
+/// Guards against calls that are given up while they are queued at a discovery service that all routers share.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_has_to_wait_its_turn_is_waited_for() {
-    let waits = Duration::from_secs(2);
-    let agent = Agent::new(Duration::ZERO, move |_| Meets::Answered(waits));
-    assert!(told_within(agent, true, 1).await <= TOLD_WITHIN);
+async fn queued_call_is_waited_for() {
+    let time_in_queue = Duration::from_secs(2);
+    let agent = Agent::new(Duration::ZERO, move |_| Reaction::RespondAfter(time_in_queue));
+    assert!(notification_delay(agent, true, 1).await <= UPDATE_DEADLINE);
 }
 
-/// Guards against a list that is lost for how it is written.
+/// Guards against a change that is lost because of how it is written.
 #[rstest]
 #[case::over_several_lines(&["{\n  \"seq\": 2,\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"answer-9\",\n      \"class\": \"answer\",\n      \"health\": \"ready\"\n    }\n  ]\n}\n"])]
 #[case::byte_by_byte(&[])]
-#[case::behind_what_is_no_list(&["what\n", CHANGE])]
+#[case::after_a_malformed_line(&["what\n", CHANGE])]
 #[tokio::test(start_paused = true)]
-async fn a_change_is_known_however_it_is_written(#[case] pieces: &[&str]) {
-    let bytes = || CHANGE.chars().map(String::from).collect();
-    let pieces = if pieces.is_empty() { bytes() } else { pieces.iter().map(|p| (*p).to_owned()).collect() };
-    let agent = Agent { pieces, ..Agent::new(Duration::from_secs(1), |_| AT_ONCE) };
-    assert!(told_within(agent, false, 1).await <= Duration::from_secs(1));
+async fn change_is_parsed_however_it_is_written(#[case] chunks: &[&str]) {
+    let single_bytes = || CHANGE.chars().map(String::from).collect();
+    let chunks =
+        if chunks.is_empty() { single_bytes() } else { chunks.iter().map(|c| (*c).to_owned()).collect() };
+    let agent = Agent { chunks, ..Agent::new(Duration::from_secs(1), |_| RESPOND_AT_ONCE) };
+    assert!(notification_delay(agent, false, 1).await <= Duration::from_secs(1));
 }
 
-/// Guards against conductors that keep a shared discovery busy with the calls that it has just failed them.
+/// Guards against routers that keep a shared discovery service busy with the calls that it has just failed.
 #[test]
-fn conductors_that_fail_together_spread_their_next_calls() {
+fn routers_that_fail_together_spread_their_next_calls() {
     let settings = |watch_required| Settings { replica_count: 100, watch_required, ..Settings::default() };
-    let [answered, given_up, silent] = [0, 2_250, 3_000].map(Duration::from_millis);
-    let most = [
+    let [answered, call_timed_out, watch_idle] = [0, 2_250, 3_000].map(Duration::from_millis);
+    let upper_bounds = [
         (0, answered, 3.75),
         (1, answered, 3.75),
         (40, answered, 3.75),
-        (1, silent, 0.75),
-        (2, given_up, 1.5),
+        (1, watch_idle, 0.75),
+        (2, call_timed_out, 1.5),
     ];
-    for (failures, silent, longest) in most {
-        let mut calls = [0; 10];
+    for (failures, silent_for, upper_bound) in upper_bounds {
+        let mut histogram = [0; 10];
         for router in 0..100 {
-            let pause = Backoff::new(&settings(true), router).delay(failures, silent).as_secs_f64();
-            calls[(pause / longest * 10.0) as usize] += 1;
+            let backoff = Backoff::new(&settings(true), router);
+            let delay = backoff.delay(failures, silent_for).as_secs_f64();
+            histogram[(delay / upper_bound * 10.0) as usize] += 1;
         }
-        assert!(calls.iter().all(|n| (2..=20).contains(n)), "after {failures} failures: {calls:?}");
+        let is_spread = histogram.iter().all(|calls| (2..=20).contains(calls));
+        assert!(is_spread, "after {failures} failures: {histogram:?}");
     }
-    // An agent that is asked for nothing but its own list is asked again soon.
-    let soon = |router| Backoff::new(&settings(false), router).delay(40, answered) < Duration::from_secs(1);
-    assert!((0..100).all(soon));
+    // A local agent, which serves one router, is called again soon.
+    let is_soon =
+        |router| Backoff::new(&settings(false), router).delay(40, answered) < Duration::from_secs(1);
+    assert!((0..100).all(is_soon));
 }
 
-/// Guards against a list that grows with every machine that is replaced under a new id.
+/// Guards against a directory that grows with every machine that is replaced under a new id.
 #[test]
-fn hosts_that_are_gone_are_forgotten() {
+fn gone_workers_are_forgotten() {
     let directory = Directory::default();
-    let listing = |whole: bool, host: String, health: &str| {
+    let update = |complete: bool, worker: String, status: &str| {
         let text = format!(
-            "{{\"seq\":1,\"whole\":{whole},\"hosts\":[{{\"host\":\"{host}\",\"dial\":\"127.0.0.1:1\",\"health\":\"{health}\"}}]}}"
+            "{{\"seq\":1,\"whole\":{complete},\"hosts\":[{{\"host\":\"{worker}\",\"dial\":\"127.0.0.1:1\",\"health\":\"{status}\"}}]}}"
         );
-        serde_json::from_str::<llm_router::net::discovery::ListMessage>(&text).unwrap().into()
+        EndpointUpdate::from(serde_json::from_str::<ListMessage>(&text).unwrap())
     };
     for i in 0..10 {
-        directory.apply(&listing(i % 2 == 0, format!("h{i}"), "ready"));
-        let gone = directory.apply(&listing(false, format!("h{i}"), "gone"));
-        assert_eq!(gone.iter().map(|w| w.0.to_string()).collect::<Vec<_>>(), [format!("h{i}")]);
+        directory.apply(&update(i % 2 == 0, format!("h{i}"), "ready"));
+        let gone = directory.apply(&update(false, format!("h{i}"), "gone"));
+        assert_eq!(gone.iter().map(|worker| worker.0.to_string()).collect::<Vec<_>>(), [format!("h{i}")]);
         assert!(!directory.is_ready(&gone[0]) && directory.address(&gone[0]).is_none());
     }
     assert!(directory.running().is_empty());
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -1,4 +1,4 @@
-//! Following discovery where the order of events matters: the test is the agent, one step at a time.
+//! Watching discovery where the order of events matters: the test plays the agent, one step at a time.
 
 use llm_router::interface::{Settings, UpdateKind, WorkerId};
 use llm_router::net::discovery::{Backoff, Dial, Directory, DiscoveryStream, EndpointWatcher};
@@ -12,36 +12,37 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-/// A change counts as told this long after discovery had it and could be reached.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+/// The driver has to be notified of a change this long after discovery had it and could be reached.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 const OLD_AGENT: &str = "127.0.0.1:1";
 const NEW_AGENT: &str = "127.0.0.1:2";
+const POLL_REQUEST_LINE: &str = "GET /v1/servers HTTP/1.1";
 
 fn address(text: &str) -> SocketAddr {
     text.parse().unwrap()
 }
 
-fn entry(host: &str, health: &str) -> String {
-    format!(r#"{{"host":"{host}","dial":"127.0.0.1:9","class":"answer","health":"{health}"}}"#)
+fn endpoint(worker: &str, status: &str) -> String {
+    format!(r#"{{"host":"{worker}","dial":"127.0.0.1:9","class":"answer","health":"{status}"}}"#)
 }
 
-fn whole_list(seq: u64, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":true,"hosts":[{}]}}"#, entries.join(","))
+fn complete_list(sequence: u64, endpoints: &[String]) -> String {
+    format!(r#"{{"seq":{sequence},"whole":true,"hosts":[{}]}}"#, endpoints.join(","))
 }
 
-fn change(seq: u64, entries: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":false,"hosts":[{}]}}"#, entries.join(","))
+fn change(sequence: u64, endpoints: &[String]) -> String {
+    format!(r#"{{"seq":{sequence},"whole":false,"hosts":[{}]}}"#, endpoints.join(","))
 }
 
 /// One connection to an agent, at the agent's end.
 struct Call {
-    to: SocketAddr,
+    agent: SocketAddr,
     stream: DuplexStream,
 }
 
 impl Call {
-    /// The request line of what is asked on it.
-    async fn asked(&mut self) -> String {
+    /// Reads the request and returns its first line.
+    async fn request_line(&mut self) -> String {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             head.push(self.stream.read_u8().await.unwrap());
@@ -49,7 +50,7 @@
         String::from_utf8(head).unwrap().lines().next().unwrap().to_owned()
     }
 
-    async fn answer(&mut self, body: &str) {
+    async fn respond(&mut self, body: &str) {
         let text = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
@@ -60,290 +61,301 @@
     }
 
     /// Writes a part of a line.
-    async fn piece(&mut self, text: &str) {
+    async fn write_chunk(&mut self, text: &str) {
         let _ = self.stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await;
     }
 
-    async fn tell(&mut self, text: &str) {
-        self.piece(&format!("{text}\n")).await;
+    async fn write_line(&mut self, text: &str) {
+        self.write_chunk(&format!("{text}\n")).await;
     }
 }
 
-/// A router's follower, and everything round it.
-struct Following {
+/// A running watcher with everything around it.
+struct Fixture {
     calls: mpsc::UnboundedReceiver<Call>,
-    driver: mpsc::UnboundedReceiver<DriverInput>,
+    driver_inputs: mpsc::UnboundedReceiver<DriverInput>,
     directory: Rc<Directory>,
     poll_requested: Rc<Notify>,
     address: watch::Sender<Option<SocketAddr>>,
-    /// Whether connections come up.
+    /// Whether connections are established; without it they stay pending.
     connects: Rc<Cell<bool>>,
 }
 
-impl Following {
-    fn start() -> Following {
-        let (driver, queue) = DriverHandle::channel(Clock::start());
-        let (called, calls) = mpsc::unbounded_channel();
+impl Fixture {
+    fn start() -> Fixture {
+        let (driver, driver_inputs) = DriverHandle::channel(Clock::start());
+        let (call_sender, calls) = mpsc::unbounded_channel();
         let (directory, poll_requested) = (Rc::<Directory>::default(), Rc::<Notify>::default());
         let connects = Rc::new(Cell::new(true));
-        let comes_up = connects.clone();
-        let dial: Dial = Rc::new(move |to| {
-            let (called, comes_up) = (called.clone(), comes_up.clone());
-            Box::pin(async move {
-                if !comes_up.get() {
-                    std::future::pending::<()>().await;
-                }
-                let (ours, stream) = tokio::io::duplex(64 * 1024);
-                let _ = called.send(Call { to, stream });
-                Ok(Box::new(ours) as Box<dyn DiscoveryStream>)
-            })
-        });
-        let follower = EndpointWatcher {
+        let watcher = EndpointWatcher {
             directory: directory.clone(),
             driver,
             close_idle_connections: Box::new(|_| {}),
             poll_requested: poll_requested.clone(),
-            dial,
+            dial: dial_in_memory(call_sender, connects.clone()),
             backoff: Backoff::new(&Settings { replica_count: 3, ..Settings::default() }, 1),
             counters: Rc::default(),
         };
-        let (address, addresses) = watch::channel(Some(address(OLD_AGENT)));
-        tokio::task::spawn_local(follower.run(addresses));
-        Following { calls, driver: queue, directory, poll_requested, address, connects }
+        let (address, address_receiver) = watch::channel(Some(address(OLD_AGENT)));
+        tokio::task::spawn_local(watcher.run(address_receiver));
+        Fixture { calls, driver_inputs, directory, poll_requested, address, connects }
     }
 
     async fn call(&mut self) -> Call {
-        timeout(TOLD_WITHIN, self.calls.recv()).await.expect("no call in time").unwrap()
+        timeout(UPDATE_DEADLINE, self.calls.recv()).await.expect("no call in time").unwrap()
     }
 
-    /// A watch that has told this whole list.
+    /// A watch on which this complete list was sent and received.
     async fn watch_with(&mut self, list: &str) -> Call {
         let mut call = self.call().await;
-        assert!(call.asked().await.contains("watch=1"));
+        assert!(call.request_line().await.contains("watch=1"));
         call.begin_watch().await;
-        call.tell(list).await;
-        self.news().await;
+        call.write_line(list).await;
+        self.update().await;
         call
     }
 
-    /// The next list or change that the core hears of: its kind and workers.
-    async fn news(&mut self) -> (UpdateKind, Vec<String>) {
-        let heard = async {
+    /// The next update that the driver is notified of: its kind and workers.
+    async fn update(&mut self) -> (UpdateKind, Vec<String>) {
+        let update = async {
             loop {
-                if let Some(DriverInput::EndpointsUpdated { kind, endpoints: entries }) =
-                    self.driver.recv().await
+                if let Some(DriverInput::EndpointsUpdated { kind, endpoints }) =
+                    self.driver_inputs.recv().await
                     && kind != UpdateKind::Unavailable
                 {
-                    return (
-                        kind,
-                        entries.iter().map(|e| format!("{} {:?}", e.worker.0, e.status)).collect(),
-                    );
+                    let workers = endpoints.iter().map(|e| format!("{} {:?}", e.worker.0, e.status));
+                    return (kind, workers.collect());
                 }
             }
         };
-        timeout(TOLD_WITHIN, heard).await.expect("nothing heard in time")
+        timeout(UPDATE_DEADLINE, update).await.expect("no update in time")
+    }
+
+    /// Waits until the driver is notified that the list may be stale.
+    async fn unavailable(&mut self) {
+        while !matches!(
+            self.driver_inputs.recv().await,
+            Some(DriverInput::EndpointsUpdated { kind: UpdateKind::Unavailable, .. })
+        ) {}
     }
 
-    fn is_ready(&self, host: &str) -> bool {
-        self.directory.is_ready(&WorkerId(host.into()))
+    fn is_ready(&self, worker: &str) -> bool {
+        self.directory.is_ready(&WorkerId(worker.into()))
     }
 
-    fn move_to_new_agent(&self) {
+    fn switch_to_new_agent(&self) {
         self.address.send(Some(address(NEW_AGENT))).unwrap();
     }
 }
 
-async fn story(story: impl Future<Output = ()>) {
-    tokio::task::LocalSet::new().run_until(story).await;
+/// Hands the agent's end of each connection to the test.
+fn dial_in_memory(calls: mpsc::UnboundedSender<Call>, connects: Rc<Cell<bool>>) -> Dial {
+    Rc::new(move |agent| {
+        let (calls, connects) = (calls.clone(), connects.clone());
+        Box::pin(async move {
+            if !connects.get() {
+                std::future::pending::<()>().await;
+            }
+            let (client_end, stream) = tokio::io::duplex(64 * 1024);
+            let _ = calls.send(Call { agent, stream });
+            Ok(Box::new(client_end) as Box<dyn DiscoveryStream>)
+        })
+    })
+}
+
+async fn run_local(test: impl Future<Output = ()>) {
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a list that undoes changes: one fetched beside the watch may be older than what the watch has told.
+/// Guards against a list that undoes changes: one polled beside the watch may be older than what the watch has sent.
 #[tokio::test(start_paused = true)]
-async fn an_older_list_of_the_same_agent_is_not_taken() {
-    story(async {
-        let mut following = Following::start();
-        let all = [entry("a", "ready"), entry("b", "ready")];
-        let mut watch = following.watch_with(&whole_list(5, &all)).await;
-        following.poll_requested.notify_one();
-        let mut beside = following.call().await;
-        assert_eq!(beside.asked().await, "GET /v1/servers HTTP/1.1");
-        // The answer is on its way when the drain is told.
-        watch.tell(&change(7, &[entry("a", "draining")])).await;
-        following.news().await;
-        beside.answer(&whole_list(6, &all)).await;
-        watch.tell(&change(6, &[entry("a", "ready")])).await;
-        watch.tell(&change(8, &[entry("c", "ready")])).await;
-        assert_eq!(following.news().await, (UpdateKind::Delta, vec!["c Ready".into()]));
-        assert!(!following.is_ready("a") && following.is_ready("b") && following.is_ready("c"));
+async fn outdated_list_of_the_same_agent_is_ignored() {
+    run_local(async {
+        let mut fixture = Fixture::start();
+        let all = [endpoint("a", "ready"), endpoint("b", "ready")];
+        let mut watch = fixture.watch_with(&complete_list(5, &all)).await;
+        fixture.poll_requested.notify_one();
+        let mut poll = fixture.call().await;
+        assert_eq!(poll.request_line().await, POLL_REQUEST_LINE);
+        // The response is under way when the watch reports the drain.
+        watch.write_line(&change(7, &[endpoint("a", "draining")])).await;
+        fixture.update().await;
+        poll.respond(&complete_list(6, &all)).await;
+        watch.write_line(&change(6, &[endpoint("a", "ready")])).await;
+        watch.write_line(&change(8, &[endpoint("c", "ready")])).await;
+        assert_eq!(fixture.update().await, (UpdateKind::Delta, vec!["c Ready".into()]));
+        assert!(!fixture.is_ready("a") && fixture.is_ready("b") && fixture.is_ready("c"));
     })
     .await;
 }
 
-/// A change between the fetched list and the watch is asked for by the list's version.
+/// A change between a polled list and the watch after it is requested by the list's sequence number.
 #[tokio::test(start_paused = true)]
-async fn a_change_between_the_list_and_the_watch_is_not_missed() {
-    story(async {
-        let mut following = Following::start();
-        following.watch_with(&whole_list(5, &[entry("a", "ready")])).await;
-        following.move_to_new_agent();
-        let mut call = following.call().await;
-        assert_eq!((call.to, call.asked().await), (address(NEW_AGENT), "GET /v1/servers HTTP/1.1".into()));
-        call.answer(&whole_list(3, &[entry("a", "ready")])).await;
-        let mut watch = following.call().await;
-        assert!(watch.asked().await.contains("after=3 "));
+async fn change_between_poll_and_watch_is_not_missed() {
+    run_local(async {
+        let mut fixture = Fixture::start();
+        fixture.watch_with(&complete_list(5, &[endpoint("a", "ready")])).await;
+        fixture.switch_to_new_agent();
+        let mut poll = fixture.call().await;
+        assert_eq!((poll.agent, poll.request_line().await), (address(NEW_AGENT), POLL_REQUEST_LINE.into()));
+        poll.respond(&complete_list(3, &[endpoint("a", "ready")])).await;
+        let mut watch = fixture.call().await;
+        assert!(watch.request_line().await.contains("after=3 "));
         watch.begin_watch().await;
-        watch.tell(&change(4, &[entry("a", "draining")])).await;
-        following.news().await;
-        following.news().await;
-        assert!(!following.is_ready("a"));
+        watch.write_line(&change(4, &[endpoint("a", "draining")])).await;
+        fixture.update().await;
+        fixture.update().await;
+        assert!(!fixture.is_ready("a"));
     })
     .await;
 }
 
-/// Guards against a list that empties the fleet: an agent that has just started may know nobody yet.
+/// Guards against a list that empties the fleet: an agent that has just started may know no workers yet.
 #[tokio::test(start_paused = true)]
-async fn an_empty_whole_list_takes_nobody_out_of_service() {
-    story(async {
-        let mut following = Following::start();
-        let mut watch = following.watch_with(&whole_list(5, &[entry("a", "ready")])).await;
-        watch.tell(&whole_list(6, &[])).await;
-        watch.tell(&change(7, &[entry("b", "ready")])).await;
-        assert_eq!(following.news().await, (UpdateKind::Delta, vec!["b Ready".into()]));
-        assert!(following.is_ready("a") && following.is_ready("b"));
+async fn empty_complete_list_withdraws_no_worker() {
+    run_local(async {
+        let mut fixture = Fixture::start();
+        let mut watch = fixture.watch_with(&complete_list(5, &[endpoint("a", "ready")])).await;
+        watch.write_line(&complete_list(6, &[])).await;
+        watch.write_line(&change(7, &[endpoint("b", "ready")])).await;
+        assert_eq!(fixture.update().await, (UpdateKind::Delta, vec!["b Ready".into()]));
+        assert!(fixture.is_ready("a") && fixture.is_ready("b"));
     })
     .await;
 }
 
-/// Guards against a change lost in an object that never ends, while the lines that show life go on.
+/// Guards against a change lost in a message that never ends, while the empty lines that show life go on.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_change_cut_off_in_its_middle_is_asked_for_again_in_time(#[values(2, 3, 30)] parts: usize) {
-    story(async {
-        let mut following = Following::start();
-        let mut watch = following.watch_with(&whole_list(5, &[entry("a", "ready")])).await;
-        let text = change(6, &[entry("a", "draining")]);
-        watch.piece(&text[..text.len() / parts]).await;
-        let lines = async {
+async fn truncated_change_is_requested_again_in_time(#[values(2, 3, 30)] parts: usize) {
+    run_local(async {
+        let mut fixture = Fixture::start();
+        let mut watch = fixture.watch_with(&complete_list(5, &[endpoint("a", "ready")])).await;
+        let text = change(6, &[endpoint("a", "draining")]);
+        watch.write_chunk(&text[..text.len() / parts]).await;
+        let heartbeats = async {
             loop {
                 sleep(Duration::from_secs(1)).await;
-                watch.tell("").await;
+                watch.write_line("").await;
             }
         };
-        let again = async {
-            let mut call = following.call().await;
-            assert!(call.asked().await.contains("after=5 "));
-            call.begin_watch().await;
-            call.tell(&text).await;
-            following.news().await
+        let next_watch = async {
+            let mut watch = fixture.call().await;
+            assert!(watch.request_line().await.contains("after=5 "));
+            watch.begin_watch().await;
+            watch.write_line(&text).await;
+            fixture.update().await
         };
-        let told = async {
-            tokio::select! { news = again => news, () = lines => unreachable!() }
+        let update = async {
+            tokio::select! { update = next_watch => update, () = heartbeats => unreachable!() }
         };
-        assert_eq!(timeout(TOLD_WITHIN, told).await.unwrap().1, ["a Draining"]);
+        assert_eq!(timeout(UPDATE_DEADLINE, update).await.unwrap().1, ["a Draining"]);
     })
     .await;
 }
 
-/// A list over many pieces is whole at its last byte, and pieces that each cut an object do not end the watch.
+/// A message in many chunks is complete at its last byte, and chunks that each end within a message do not end the watch.
 #[tokio::test(start_paused = true)]
-async fn objects_that_are_always_cut_are_no_silence() {
-    story(async {
-        let mut following = Following::start();
-        let mut watch = following.watch_with(&whole_list(5, &[entry("a", "ready")])).await;
+async fn split_messages_do_not_end_the_watch() {
+    run_local(async {
+        let mut fixture = Fixture::start();
+        let mut watch = fixture.watch_with(&complete_list(5, &[endpoint("a", "ready")])).await;
         let mut rest = String::new();
-        for seq in 6..20 {
-            let text = change(seq, &[entry(&format!("b-{seq}"), "ready")]);
-            let (first, second) = text.split_at(text.len() / 2);
-            watch.piece(&format!("{rest}{first}")).await;
-            rest = format!("{second}\n");
+        for sequence in 6..20 {
+            let text = change(sequence, &[endpoint(&format!("b-{sequence}"), "ready")]);
+            let (first_half, second_half) = text.split_at(text.len() / 2);
+            watch.write_chunk(&format!("{rest}{first_half}")).await;
+            rest = format!("{second_half}\n");
             sleep(Duration::from_secs(1)).await;
         }
-        for seq in 6..19 {
-            assert_eq!(following.news().await.1, [format!("b-{seq} Ready")]);
+        for sequence in 6..19 {
+            assert_eq!(fixture.update().await.1, [format!("b-{sequence} Ready")]);
         }
-        assert!(following.calls.try_recv().is_err());
+        assert!(fixture.calls.try_recv().is_err());
     })
     .await;
 }
 
+/// What the watcher does when the address of discovery changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum During {
     Connect,
     Call,
     Watch,
-    Pause,
+    Backoff,
 }
 
-/// Guards against a move that waits for what is under way with the old agent, and against the old one's answer after it.
+/// Guards against a new agent that waits for what is under way with the old one, and against the old agent's responses
+/// after the change.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn a_move_goes_to_the_new_agent_at_once(
-    #[values(During::Connect, During::Call, During::Watch, During::Pause)] during: During,
+async fn new_agent_is_called_at_once(
+    #[values(During::Connect, During::Call, During::Watch, During::Backoff)] during: During,
 ) {
-    story(async {
-        let mut following = Following::start();
-        let mut old = None;
+    run_local(async {
+        let mut fixture = Fixture::start();
+        let mut old_call = None;
         match during {
-            During::Connect => following.connects.set(false),
+            During::Connect => fixture.connects.set(false),
             During::Call => {
-                let mut call = following.call().await;
-                call.asked().await;
-                old = Some(call);
+                let mut call = fixture.call().await;
+                call.request_line().await;
+                old_call = Some(call);
+            }
+            During::Watch => {
+                old_call = Some(fixture.watch_with(&complete_list(5, &[endpoint("a", "ready")])).await);
             }
-            During::Watch => old = Some(following.watch_with(&whole_list(5, &[entry("a", "ready")])).await),
-            During::Pause => {
-                // Closed without an answer: the follower pauses before it asks again.
-                drop(following.call().await);
-                while !matches!(
-                    following.driver.recv().await,
-                    Some(DriverInput::EndpointsUpdated { kind: UpdateKind::Unavailable, .. })
-                ) {}
+            During::Backoff => {
+                // Closed without a response: the watcher backs off before it calls again.
+                drop(fixture.call().await);
+                fixture.unavailable().await;
             }
         }
         tokio::task::yield_now().await;
-        following.connects.set(true);
-        following.move_to_new_agent();
-        if let Some(old) = &mut old {
-            old.begin_watch().await;
-            old.tell(&whole_list(9, &[entry("old", "ready")])).await;
+        fixture.connects.set(true);
+        fixture.switch_to_new_agent();
+        if let Some(old_call) = &mut old_call {
+            old_call.begin_watch().await;
+            old_call.write_line(&complete_list(9, &[endpoint("old", "ready")])).await;
         }
-        let mut call = timeout(Duration::from_millis(50), following.call()).await.expect("not at once");
-        assert_eq!((call.to, call.asked().await), (address(NEW_AGENT), "GET /v1/servers HTTP/1.1".into()));
-        call.answer(&whole_list(2, &[entry("new", "ready")])).await;
-        assert_eq!(following.news().await, (UpdateKind::Snapshot, vec!["new Ready".into()]));
-        assert!(following.is_ready("new") && !following.is_ready("old") && !following.is_ready("a"));
+        let mut poll = timeout(Duration::from_millis(50), fixture.call()).await.expect("not at once");
+        assert_eq!((poll.agent, poll.request_line().await), (address(NEW_AGENT), POLL_REQUEST_LINE.into()));
+        poll.respond(&complete_list(2, &[endpoint("new", "ready")])).await;
+        assert_eq!(fixture.update().await, (UpdateKind::Snapshot, vec!["new Ready".into()]));
+        assert!(fixture.is_ready("new") && !fixture.is_ready("old") && !fixture.is_ready("a"));
     })
     .await;
 }
 
-/// Guards against work sent to what an agent before said drains or is gone, because the new one has not heard of it yet.
+/// Guards against requests to workers that the old agent reported as draining or gone, because the new agent has not
+/// heard of it yet.
 #[rstest]
-#[case::drains("draining")]
-#[case::is_gone("gone")]
+#[case::draining("draining")]
+#[case::gone("gone")]
 #[tokio::test(start_paused = true)]
-async fn an_older_list_of_a_new_agent_brings_nobody_back(#[case] health: &str) {
-    story(async {
-        let mut following = Following::start();
-        let all = [entry("a", "ready"), entry("b", "ready")];
-        let mut watch = following.watch_with(&whole_list(5, &all)).await;
-        watch.tell(&change(6, &[entry("a", health)])).await;
-        following.news().await;
-        following.move_to_new_agent();
-        let mut call = following.call().await;
-        call.asked().await;
-        call.answer(&whole_list(4, &all)).await;
+async fn outdated_list_of_a_new_agent_restores_no_worker(#[case] status: &str) {
+    run_local(async {
+        let mut fixture = Fixture::start();
+        let all = [endpoint("a", "ready"), endpoint("b", "ready")];
+        let mut watch = fixture.watch_with(&complete_list(5, &all)).await;
+        watch.write_line(&change(6, &[endpoint("a", status)])).await;
+        fixture.update().await;
+        fixture.switch_to_new_agent();
+        let mut poll = fixture.call().await;
+        poll.request_line().await;
+        poll.respond(&complete_list(4, &all)).await;
         assert_eq!(
-            following.news().await,
+            fixture.update().await,
             (UpdateKind::Snapshot, vec!["a Draining".into(), "b Ready".into()])
         );
-        assert!(!following.is_ready("a") && following.is_ready("b"));
-        // What the new agent says of it from then on counts.
-        let mut watch = following.call().await;
-        watch.asked().await;
+        assert!(!fixture.is_ready("a") && fixture.is_ready("b"));
+        // What the new agent reports of the worker from then on counts.
+        let mut watch = fixture.call().await;
+        watch.request_line().await;
         watch.begin_watch().await;
-        watch.tell(&change(5, &[entry("a", "ready")])).await;
-        following.news().await;
-        assert!(following.is_ready("a"));
+        watch.write_line(&change(5, &[endpoint("a", "ready")])).await;
+        fixture.update().await;
+        assert!(fixture.is_ready("a"));
     })
     .await;
 }
