--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,48 +1,60 @@
-//! The worker list through the whole program: discovery moves, falls silent, and tells of drains.
+//! The endpoint list through the whole program: discovery moves, falls silent, and reports workers that drain.
 
 mod support;
 
 use rstest::rstest;
 use std::io::{BufReader, Read, Write};
-use std::sync::atomic::Ordering;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
+use std::thread::JoinHandle;
 use support::*;
 
-/// Guards against sends to a host that was told to drain, and against a list lost with its discovery.
+/// How a discovery agent lists a worker without an address, or with one.
+fn endpoint(worker: &str, kind: &str, status: &str, address: Option<SocketAddr>) -> String {
+    let dial = address.map(|address| format!(r#""dial":"{address}","#)).unwrap_or_default();
+    format!(r#"{{"host":"{worker}",{dial}"health":"{status}","class":"{kind}","site":"here"}}"#)
+}
+
+/// Guards against requests to a worker that is draining, and against a list lost with its discovery.
 #[test]
-fn discovery_moves_work_and_its_silence_changes_nothing() {
-    let (old, new, reader) = (recording_peer(|_, _| false), decode_worker(), Peer::prefill_worker());
-    let (asked, asks) = shared_channel();
-    let address = new.address;
+fn updates_move_requests_and_a_lost_watch_changes_nothing() {
+    let (old_decode, old_requests) = recording_peer(|_, _| false);
+    let (new_decode, prefill) = (decode_worker(), Peer::prefill_worker());
+    let (record_request, requests) = shared_channel();
+    let draining = endpoint("answer-0", "answer", "draining", None);
+    let ready = endpoint("answer-9", "answer", "ready", Some(new_decode.address));
     let discovery = Peer::start(move |message, conn| {
         conn.begin_stream();
         if message.line.contains("after=1 ") {
-            conn.chunk("{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"answer-0\",\"health\":\"draining\",\"class\":\"answer\",\"site\":\"here\"},\n");
+            conn.chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining},\n"));
         } else {
-            // The line before was cut off: it came again after a break, from the version held.
-            asked(message.line.clone());
+            // The message before was truncated: it comes again on the next watch, after the sequence number reached.
+            record_request(message.line.clone());
             return false;
         }
-        conn.chunk(&format!("\n{{\"seq\":7,\"hosts\":[{{\"host\":\"answer-0\",\"health\":\"draining\",\"class\":\"answer\",\"site\":\"here\"}},{{\"host\":\"answer-9\",\"dial\":\"{address}\",\"health\":\"ready\",\"class\":\"answer\",\"site\":\"here\"}}]}}\n\n"));
+        conn.chunk(&format!("\n{{\"seq\":7,\"hosts\":[{draining},{ready}]}}\n\n"));
         false
     });
     let more = format!("discovery = \"{}\"", discovery.address);
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[old.0.address], &more));
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &[old_decode.address], &more));
     for _ in 0..2 {
-        assert!(asks.recv().unwrap().contains("GET /v1/servers?watch=1&after=7"));
+        assert!(requests.recv().unwrap().contains("GET /v1/servers?watch=1&after=7"));
     }
     assert_eq!(router.request("id-1", "send").status(), 200);
-    assert_eq!(old.1.try_iter().filter(|l| l.starts_with("POST")).count(), 0);
+    assert_eq!(old_requests.try_iter().filter(|line| line.starts_with("POST")).count(), 0);
 }
 
-/// Guards against a watch that the module's wish for one cuts off: the call left behind is served for nobody.
+/// Guards against a watch that is cut off because the policy requests one: the call left behind would be served for
+/// nobody.
 #[test]
-fn where_lists_come_on_request_discovery_is_asked_once() {
-    let (asked, asks) = shared_channel();
+fn shared_discovery_is_called_once() {
+    let (record_request, requests) = shared_channel();
+    let draining = endpoint("answer-0", "answer", "draining", None);
     let discovery = Peer::start(move |message, conn| {
-        asked(message.line.clone());
+        record_request(message.line.clone());
         conn.begin_stream();
-        conn.chunk("{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"answer-0\",\"health\":\"draining\",\"class\":\"answer\",\"site\":\"here\"}]}\n");
+        conn.chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining}]}}\n"));
         !conn.is_closed()
     });
     let more = format!("discovery = \"{}\"", discovery.address);
@@ -50,171 +62,204 @@
     let router = RouterProcess::start(&file.replace("\"pushed\"", "\"on_request\""));
     router.wait_for("answer-0 (answer, here, cell 0) is Draining");
     assert_eq!(router.stop().get("watches_lost"), 0);
-    assert_eq!(asks.try_iter().count(), 1);
+    assert_eq!(requests.try_iter().count(), 1);
 }
 
-/// Guards against a SIGHUP that ends the process, a watch that stays with the old agent for as long as that one
-/// lives, and a new agent asked for changes since a version that it never had.
-#[test]
-fn sighup_moves_discovery_at_once_and_what_is_in_hand_goes_on() {
-    let (begun, begins) = shared_channel();
-    let go = Arc::new(Mutex::new(()));
-    let held = go.lock().unwrap();
-    let gate = go.clone();
-    let old_writer = Peer::start(move |_, conn| {
+/// A decode worker that sends the first token at once and the end of its stream once `gate` can be locked. Notifies
+/// `started` of each stream.
+fn gated_decode_worker(gate: Arc<Mutex<()>>, started: Arc<dyn Fn(String) + Send + Sync>) -> Peer {
+    Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.delta("one");
-        begun("".into());
+        started(String::new());
         drop(gate.lock());
         conn.end_stream();
         true
-    });
-    let (reader, new_writer) = (Peer::prefill_worker(), decode_worker());
-    let (closed, closes) = shared_channel();
-    let old = Peer::start(move |_, conn| {
+    })
+}
+
+/// Guards against a SIGHUP that ends the process, a watch that stays with the old agent for as long as that one lives,
+/// and a new agent that is asked for changes after a sequence number that it never had.
+#[test]
+fn reload_switches_discovery_at_once_and_active_requests_continue() {
+    let (stream_started, streams) = shared_channel();
+    let gate = Arc::new(Mutex::new(()));
+    let locked_gate = gate.lock().unwrap();
+    let old_decode = gated_decode_worker(gate.clone(), stream_started);
+    let (prefill, new_decode) = (Peer::prefill_worker(), decode_worker());
+    let (record_close, closes) = shared_channel();
+    let old_agent = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.chunk("\n");
-        closed(conn.is_closed().to_string());
+        record_close(conn.is_closed().to_string());
         false
     });
-    let (asked, asks) = shared_channel();
-    let (reads, writes) = (reader.address, new_writer.address);
-    let new = Peer::start(move |message, conn| {
-        asked(message.line.clone());
+    let (record_request, requests) = shared_channel();
+    let listed = [
+        endpoint("prompt-0", "prompt", "ready", Some(prefill.address)),
+        endpoint("answer-9", "answer", "ready", Some(new_decode.address)),
+    ];
+    let list = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}", listed.join(","));
+    let new_agent = Peer::start(move |message, conn| {
+        record_request(message.line.clone());
         if message.line.contains("watch") {
             conn.begin_stream();
             return !conn.is_closed();
         }
-        conn.answer("200 OK", "", &format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{{\"host\":\"prompt-0\",\"dial\":\"{reads}\",\"health\":\"ready\",\"class\":\"prompt\",\"site\":\"here\"}},{{\"host\":\"answer-9\",\"dial\":\"{writes}\",\"health\":\"ready\",\"class\":\"answer\",\"site\":\"here\"}}]}}"));
+        conn.answer("200 OK", "", &list);
         true
     });
-    let file = |more: &str| operator_file(&[reader.address], &[old_writer.address], more);
-    let router = RouterProcess::start(&file(&format!("discovery = \"{}\"", old.address)));
+    let file = |more: &str| operator_file(&[prefill.address], &[old_decode.address], more);
+    let router = RouterProcess::start(&file(&format!("discovery = \"{}\"", old_agent.address)));
     let mut client = router.connect();
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    begins.recv().unwrap();
+    streams.recv().unwrap();
     router.reload("listen = ");
     assert!(router.wait_for("the configuration held stands").contains("line 1"));
-    router.reload(&file(&format!("discovery = \"{}\"", new.address)));
+    router.reload(&file(&format!("discovery = \"{}\"", new_agent.address)));
     assert_eq!(closes.recv().unwrap(), "true");
-    for wanted in ["GET /v1/servers HTTP", "GET /v1/servers?watch=1&after=1 HTTP"] {
-        assert!(asks.recv().unwrap().starts_with(wanted));
+    for expected in ["GET /v1/servers HTTP", "GET /v1/servers?watch=1&after=1 HTTP"] {
+        assert!(requests.recv().unwrap().starts_with(expected));
     }
     assert_eq!(router.request("id-2", "send").status(), 200);
-    drop(held);
+    drop(locked_gate);
     assert!(Message::read(&mut BufReader::new(client)).unwrap().whole);
     let counters = router.stop();
     assert_eq!(["reloads", "reloads_failed", "requests_received"].map(|c| counters.get(c)), [1, 1, 2]);
 }
 
-/// Guards against clients that fill the descriptors while discovery is down, some before and some after an answer: the
-/// watch has to come back, and so have requests.
+/// Idle clients that connect again as soon as they are closed, so that a free descriptor is taken at once.
+struct IdleClients {
+    stop: Arc<AtomicBool>,
+    thread: JoinHandle<()>,
+}
+
+impl IdleClients {
+    /// Connects so many clients; every other one sends a request first.
+    fn start(address: SocketAddr, count: usize) -> IdleClients {
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = stop.clone();
+        let thread = std::thread::spawn(move || {
+            let mut clients: Vec<_> = (0..count).map(|i| Self::connect(address, i)).collect();
+            while !stopped.load(Ordering::SeqCst) {
+                for (i, client) in clients.iter_mut().enumerate() {
+                    if !Self::is_open(client) {
+                        *client = Self::connect(address, i);
+                    }
+                }
+                std::thread::yield_now();
+            }
+        });
+        IdleClients { stop, thread }
+    }
+
+    fn connect(address: SocketAddr, index: usize) -> TcpStream {
+        let mut client = TcpStream::connect(address).unwrap();
+        if index.is_multiple_of(2) {
+            let _ = client.write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n");
+        }
+        client.set_nonblocking(true).unwrap();
+        client
+    }
+
+    fn is_open(client: &mut TcpStream) -> bool {
+        match client.read(&mut [0; 512]) {
+            Ok(bytes) => bytes > 0,
+            Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
+        }
+    }
+
+    fn stop(self) {
+        self.stop.store(true, Ordering::SeqCst);
+        self.thread.join().unwrap();
+    }
+}
+
+/// Guards against clients that fill the descriptors while discovery is down, some before and some after a response: the
+/// watch has to come back, and requests have to be served again.
 #[test]
-fn idle_clients_leave_room_for_discovery_and_for_servers() {
+fn idle_clients_leave_descriptors_for_discovery_and_workers() {
     const DESCRIPTORS: usize = 200;
-    let (reader, new) = (Peer::prefill_worker(), decode_worker());
-    let (asked, asks) = shared_channel();
-    let up = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let (is_up, address) = (up.clone(), new.address);
+    let (prefill, new_decode) = (Peer::prefill_worker(), decode_worker());
+    let (record_failure, failures) = shared_channel();
+    let discovery_up = Arc::new(AtomicBool::new(false));
+    let is_up = discovery_up.clone();
+    let ready = endpoint("answer-9", "answer", "ready", Some(new_decode.address));
     let discovery = Peer::start(move |_, conn| {
         if !is_up.load(Ordering::SeqCst) {
-            asked("in vain".into());
+            record_failure("down".into());
             return false;
         }
         conn.begin_stream();
-        conn.chunk(&format!("{{\"seq\":2,\"hosts\":[{{\"host\":\"answer-9\",\"dial\":\"{address}\",\"health\":\"ready\",\"class\":\"answer\",\"site\":\"here\"}}]}}\n"));
+        conn.chunk(&format!("{{\"seq\":2,\"hosts\":[{ready}]}}\n"));
         conn.is_closed()
     });
     let more = format!(
         "discovery = \"{}\"\nlimits = {{ sockets = {DESCRIPTORS}, memory_mb = 64 }}",
         discovery.address
     );
-    let file = operator_file(&[reader.address], &[], &more);
+    let file = operator_file(&[prefill.address], &[], &more);
     let router = RouterProcess::start_within(DESCRIPTORS, &file);
-    // They come again as soon as they are closed: a descriptor that falls free is taken at once.
-    let (address, ended) = (router.address, Arc::new(std::sync::atomic::AtomicBool::new(false)));
-    let over = ended.clone();
-    let resting = std::thread::spawn(move || {
-        let connect = |i: usize| {
-            let mut client = std::net::TcpStream::connect(address).unwrap();
-            if i.is_multiple_of(2) {
-                let _ = client.write_all(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n");
-            }
-            client.set_nonblocking(true).unwrap();
-            client
-        };
-        let mut clients: Vec<_> = (0..2 * DESCRIPTORS).map(connect).collect();
-        while !over.load(Ordering::SeqCst) {
-            for (i, client) in clients.iter_mut().enumerate() {
-                let still_open = match client.read(&mut [0; 512]) {
-                    Ok(read) => read > 0,
-                    Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
-                };
-                if !still_open {
-                    *client = connect(i);
-                }
-            }
-            std::thread::yield_now();
-        }
-    });
-    // Once they are all there, discovery is asked in vain some more.
-    for _ in 0..asks.try_iter().count() + 3 {
-        asks.recv().unwrap();
+    let clients = IdleClients::start(router.address, 2 * DESCRIPTORS);
+    // Once the clients have connected, discovery fails some more calls.
+    for _ in 0..failures.try_iter().count() + 3 {
+        failures.recv().unwrap();
     }
-    up.store(true, Ordering::SeqCst);
+    discovery_up.store(true, Ordering::SeqCst);
     let lines = router.lines_to("answer-9 (answer, here, cell 0) is Ready");
-    assert!(!lines.iter().any(|l| l.contains("Too many open files")), "{lines:?}");
-    let mut tries = 0;
-    while router.request(&format!("id-{tries}"), "send").status() != 200 {
-        tries += 1;
+    assert!(!lines.iter().any(|line| line.contains("Too many open files")), "{lines:?}");
+    let mut attempts = 0;
+    while router.request(&format!("id-{attempts}"), "send").status() != 200 {
+        attempts += 1;
     }
-    ended.store(true, Ordering::SeqCst);
-    resting.join().unwrap();
+    clients.stop();
 }
 
-/// Guards against a start that waits for discovery: the list that a router held before is good enough to serve.
+/// Guards against a start that waits for discovery: the list that a router had before is good enough to serve.
 #[rstest]
-fn a_conductor_is_ready_from_its_known_list_while_discovery_says_nothing(
+fn router_is_ready_from_its_restored_list_while_discovery_is_silent(
     #[values("pushed", "on_request")] mode: &str,
 ) {
     let discovery = Peer::start(|_, conn| {
         conn.is_closed();
         false
     });
-    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
+    let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
     let more = format!("discovery = \"{}\"", discovery.address);
-    let file = operator_file(&[reader.address], &[writer.address], &more);
+    let file = operator_file(&[prefill.address], &[decode.address], &more);
     let router = RouterProcess::start(&file.replace("\"pushed\"", &format!("\"{mode}\"")));
     assert_eq!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").status(), 200);
     assert_eq!(router.request("id-1", "send").status(), 200);
 }
 
-/// Guards against a send that was decided before the news of a drain and happens after it: the list is looked at
-/// when the first byte is about to go out.
+/// Guards against a send that is decided on before the worker drains and happens after it: the directory is consulted
+/// when the first byte is about to be sent.
 #[test]
-fn a_send_decided_before_the_news_of_a_drain_is_held_back() {
-    let (drain, drained) = shared_channel();
-    let drained = Mutex::new(drained);
-    let (old, told) = recording_peer_with_releases(move |message, _| {
-        // The first read breaks; the release before the second one is what the drain comes in.
+fn send_decided_before_a_drain_is_withheld() {
+    let (start_drain, drain_started) = shared_channel();
+    let drain_started = Mutex::new(drain_started);
+    let (old_prefill, old_requests) = recording_peer_with_releases(move |message, _| {
+        // The first prefill fails; the drain happens during the cache release before the second one.
         if message.line.starts_with("DELETE") {
-            drain("now".into());
+            start_drain("now".into());
         }
         false
     });
-    let (new, writer) = (Peer::prefill_worker(), Peer::start(decode_worker_without_release));
-    let address = new.address;
+    let new_prefill = Peer::prefill_worker();
+    let decode = Peer::start(decode_worker_without_release);
+    let draining = endpoint("prompt-0", "prompt", "draining", None);
+    let ready = endpoint("prompt-9", "prompt", "ready", Some(new_prefill.address));
     let discovery = Peer::start(move |_, conn| {
         conn.begin_stream();
-        if drained.lock().unwrap().recv().is_ok() {
-            conn.chunk(&format!("{{\"seq\":2,\"hosts\":[{{\"host\":\"prompt-0\",\"health\":\"draining\",\"class\":\"prompt\",\"site\":\"here\"}},{{\"host\":\"prompt-9\",\"dial\":\"{address}\",\"health\":\"ready\",\"class\":\"prompt\",\"site\":\"here\"}}]}}\n"));
-            let _ = drained.lock().unwrap().recv();
+        if drain_started.lock().unwrap().recv().is_ok() {
+            conn.chunk(&format!("{{\"seq\":2,\"hosts\":[{draining},{ready}]}}\n"));
+            let _ = drain_started.lock().unwrap().recv();
         }
         false
     });
     let more = format!("discovery = \"{}\"", discovery.address);
-    let router = RouterProcess::start(&operator_file(&[old.address], &[writer.address], &more));
+    let router = RouterProcess::start(&operator_file(&[old_prefill.address], &[decode.address], &more));
     assert_eq!(router.request("id-1", "send").status(), 200);
     assert_eq!(router.stop().get("attempts_withheld"), 1);
-    assert_eq!(told.try_iter().filter(|l| l.starts_with("POST")).count(), 1);
+    assert_eq!(old_requests.try_iter().filter(|line| line.starts_with("POST")).count(), 1);
 }
