--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -74,3 +74,6 @@
         self.buffer.advance(newline.map_or(self.buffer.len(), |newline| newline + 1));
     }
 }
+
+#[cfg(test)]
+mod tests;
