--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -9,10 +9,11 @@
 pub mod ledger;
 
 use crate::config::ToolSettings;
+use crate::frontend::context::ServiceContext;
 use crate::frontend::platform::{ResponseBody, refusal};
-use crate::frontend::service::{MAX_BODY_BYTES, ServiceContext};
 use crate::interface::{RequestId, RequestSpec};
 use crate::net::server::client_socket::ClientSocket;
+use crate::net::server::received_request::MAX_BODY_BYTES;
 use crate::net::{Local, is_plain_id};
 use crate::runtime::exchange::{DisconnectGuard, FinalResponse, ForwardedRequest, Frame, ResponseStream};
 use bytes::{Bytes, BytesMut};
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -45,13 +45,6 @@
     Breaking,
 }
 
-impl ResponseBody {
-    /// Whether it comes bit by bit.
-    pub fn is_stream(&self) -> bool {
-        !matches!(self, ResponseBody::Fixed(_))
-    }
-}
-
 /// A stream that broke: the client's connection ends without the last chunk.
 #[derive(Debug, thiserror::Error)]
 #[error("the model host's stream broke")]
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -1,13 +1,15 @@
 //! What clients ask of the router: paths, bounds of bodies, and requests on their way to the core and back.
 
+pub use crate::frontend::context::ServiceContext;
 use crate::frontend::jsonrpc;
 use crate::frontend::platform::{self, ResponseBody, plain};
 use crate::interface::Micros;
 use crate::net::Local;
-use crate::net::server::accept::ShutdownPhase;
-use crate::net::server::budget::{Budget, Held};
+use crate::net::server::budget::Held;
 use crate::net::server::client_socket::ClientSocket;
-use crate::runtime::DriverHandle;
+use crate::net::server::handler::{HandlerBody, RequestHandler};
+use crate::net::server::received_request::{MAX_BODY_BYTES, ReceivedRequest};
+use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::counters::Counters;
 use crate::runtime::exchange::ForwardedRequest;
 use bytes::{Bytes, BytesMut};
@@ -15,35 +17,15 @@
 use hyper::body::{Body, Incoming};
 use hyper::{Method, Request, Response, StatusCode};
 use std::any::Any;
-use std::cell::RefCell;
-use std::collections::HashSet;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use tokio::sync::watch;
 use tower::Service;
 
-/// No body is longer.
-pub const MAX_BODY_BYTES: usize = 256 * 1024;
 /// Advice to clients that came when there was no room.
 pub const RETRY_AFTER: Micros = 500_000;
 
-/// What all connections of the edge share.
-pub struct ServiceContext {
-    /// The core.
-    pub driver: DriverHandle,
-    /// Classes that the settings name.
-    pub classes: Vec<String>,
-    /// Whether the conductor can serve.
-    pub ready: Box<dyn Fn() -> bool>,
-    /// Counters.
-    pub counters: Rc<Counters>,
-    /// Bytes of bodies that may be held at once.
-    pub budget: Rc<Budget>,
-    /// Ids in hand.
-    pub ids: RefCell<HashSet<String>>,
-}
-
 /// An id in hand, free again when dropped.
 struct IdInUse(Rc<ServiceContext>, String);
 
@@ -70,7 +52,7 @@
     }
 
     async fn respond(self, arrival: ReceivedRequest) -> Response<ResponseBody> {
-        let ReceivedRequest { request, client, stage } = arrival;
+        let ReceivedRequest { request, client, shutdown } = arrival;
         if !client.is_next_head_sound() {
             return self.bad(StatusCode::BAD_REQUEST, "ambiguous framing\n");
         }
@@ -93,7 +75,7 @@
             };
         }
         match (path, request.method()) {
-            (platform::PATH, &Method::POST) => self.platform(request, &client, &stage).await,
+            (platform::PATH, &Method::POST) => self.platform(request, &client, &shutdown).await,
             (platform::PATH | "/healthz", _) => self.bad(StatusCode::METHOD_NOT_ALLOWED, "wrong method\n"),
             _ => self.bad(StatusCode::NOT_FOUND, "no such path\n"),
         }
@@ -103,7 +85,7 @@
         self,
         request: Request<Incoming>,
         client: &Rc<ClientSocket>,
-        stage: &watch::Receiver<ShutdownPhase>,
+        shutdown: &watch::Receiver<ShutdownPhase>,
     ) -> Response<ResponseBody> {
         let shared = self.shared.clone();
         let (head, body) = request.into_parts();
@@ -129,7 +111,7 @@
             return platform::refusal(None);
         }
         // The process may end before the deadline of what comes this late; nothing is lost if it is sent elsewhere.
-        if *stage.borrow() == ShutdownPhase::Closing {
+        if *shutdown.borrow() == ShutdownPhase::Closing {
             log::debug!("request {}: refused: it came in the closing stage of a shutdown", intake.id);
             shared.counters.rejected_at_shutdown.increment();
             return platform::refusal(Some(RETRY_AFTER));
@@ -191,16 +173,6 @@
     }
 }
 
-/// A request whose head has come, and the connection it comes on.
-pub struct ReceivedRequest {
-    /// The request.
-    pub request: Request<Incoming>,
-    /// Its connection.
-    pub client: Rc<ClientSocket>,
-    /// How far a graceful shutdown has come.
-    pub stage: watch::Receiver<ShutdownPhase>,
-}
-
 impl Service<ReceivedRequest> for RequestService {
     type Response = Response<ResponseBody>;
     type Error = Infallible;
@@ -215,3 +187,21 @@
         Box::pin(async move { Ok(service.respond(arrival).await) })
     }
 }
+
+impl RequestHandler for RequestService {
+    type Body = ResponseBody;
+
+    fn overload_response(&self) -> Response<ResponseBody> {
+        platform::refusal(Some(RETRY_AFTER))
+    }
+
+    fn counters(&self) -> &Rc<Counters> {
+        &self.shared.counters
+    }
+}
+
+impl HandlerBody for ResponseBody {
+    fn is_stream(&self) -> bool {
+        !matches!(self, ResponseBody::Fixed(_))
+    }
+}
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -1,28 +1,19 @@
-//! The server side: accepts clients within its bounds, and passes answers on.
+//! Accepts client connections within a limit.
 
-use crate::frontend::platform::{self, ResponseBody};
-use crate::frontend::service::{RETRY_AFTER, ReceivedRequest, RequestService};
-use crate::net::Local;
 use crate::net::failure::{AcceptFailure, accept_failure};
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::connection::serve;
+use crate::net::server::connection_handler::{ConnectionHandler, LimitedHandler};
 use crate::net::server::connections::Connections;
+use crate::net::server::handler::RequestHandler;
+pub use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::counters::Counters;
-use bytes::Bytes;
-use hyper::body::{Body, Incoming};
-use hyper::header::{CONNECTION, HeaderValue};
-use hyper::{Request, Response};
-use std::convert::Infallible;
 use std::io;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tower::limit::ConcurrencyLimit;
-use tower::load_shed::LoadShed;
-use tower::{ServiceBuilder, ServiceExt};
+use tower::ServiceBuilder;
 
 /// Connections over the bound that are still told so; beyond them, one that is not being answered has to go at once for
 /// each that comes.
@@ -61,51 +52,10 @@
     }
 }
 
-/// How far an orderly end has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShutdownPhase {
-    /// In service.
-    Open,
-    /// Idle connections are closed, each other one after the answer under way, and what still comes is refused.
-    Closing,
-}
-
-/// An answer's body that tells its connection when it is over.
-pub struct TrackedBody {
-    body: ResponseBody,
-    client: Rc<ClientSocket>,
-}
-
-impl Drop for TrackedBody {
-    fn drop(&mut self) {
-        self.client.answered();
-    }
-}
-
-impl Body for TrackedBody {
-    type Data = Bytes;
-    type Error = platform::Broken;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::Broken>>> {
-        Pin::new(&mut self.body).poll_frame(cx)
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.body.is_end_stream()
-    }
-
-    fn size_hint(&self) -> hyper::body::SizeHint {
-        self.body.size_hint()
-    }
-}
-
 /// Accepts clients until told to stop, at most `bound` at once.
-pub struct Listener {
-    /// The service.
-    pub service: RequestService,
+pub struct Listener<H> {
+    /// Answers requests.
+    pub service: H,
     /// Most client connections; [`RESERVED_CONNECTIONS`] more are told that there is no room.
     pub bound: usize,
     /// Most requests that wait for their first event.
@@ -116,7 +66,7 @@
     pub open: Rc<Connections>,
 }
 
-impl Listener {
+impl<H: RequestHandler> Listener<H> {
     /// Accepts until the closing stage, and then what still waits in the system's queue: a listener closed over
     /// connections resets them.
     pub async fn accept(self, listener: TcpListener) {
@@ -133,7 +83,7 @@
     }
 
     /// Accepts one after another, also in a full house: none is left to wait in the system's queue.
-    async fn accept_next(&self, listener: &TcpListener, service: &BoundedService) {
+    async fn accept_next(&self, listener: &TcpListener, service: &LimitedHandler<H>) {
         let mut failures = AcceptFailures::default();
         loop {
             match listener.accept().await {
@@ -171,7 +121,7 @@
     }
 
     /// Takes in what waits in the system's queue, and no more.
-    async fn drain_backlog(&self, listener: TcpListener, service: &BoundedService) {
+    async fn drain_backlog(&self, listener: TcpListener, service: &LimitedHandler<H>) {
         // Asked directly: the runtime may not have looked at the listener since the last connection came.
         let Ok(listener) = listener.into_std() else { return };
         let accept = || {
@@ -183,7 +133,7 @@
     }
 
     /// Takes in what `accept` gives until nothing waits any more. A failure ends it only when it lasts.
-    async fn drain(&self, mut accept: impl FnMut() -> io::Result<TcpStream>, service: &BoundedService) {
+    async fn drain(&self, mut accept: impl FnMut() -> io::Result<TcpStream>, service: &LimitedHandler<H>) {
         let mut failures = AcceptFailures::default();
         loop {
             match accept() {
@@ -199,11 +149,11 @@
     }
 
     fn counters(&self) -> &Rc<Counters> {
-        &self.service.shared.counters
+        self.service.counters()
     }
 
     /// Takes a connection in, and serves it beside the others.
-    fn admit(&self, stream: TcpStream, service: &BoundedService) {
+    fn admit(&self, stream: TcpStream, service: &LimitedHandler<H>) {
         let counters = self.counters().clone();
         counters.client_connections.increment();
         let client = ClientSocket::new(self.open.next_number(), Rc::new(stream));
@@ -216,71 +166,20 @@
         if over {
             counters.connections_rejected.increment();
         }
-        let answering = Answerer {
-            service: service.clone(),
+        let handler = ConnectionHandler {
+            limited: service.clone(),
+            handler: self.service.clone(),
             client: client.clone(),
-            counters: counters.clone(),
-            over,
-            stage: self.stage.clone(),
+            is_over_limit: over,
+            shutdown: self.stage.clone(),
         };
         let stage = self.stage.clone();
         tokio::task::spawn_local(async move {
             let _place = place;
-            let answer = move |request| -> Local<Result<Response<TrackedBody>, Infallible>> {
-                Box::pin(answering.clone().answer(request))
-            };
-            serve(hyper::service::service_fn(answer), stage, &client, &counters).await;
+            serve(handler, stage, &client, &counters).await;
         });
     }
 }
 
-/// The edge behind the bound on requests that wait.
-type BoundedService = LoadShed<ConcurrencyLimit<RequestService>>;
-
-/// Answers the requests of one connection.
-#[derive(Clone)]
-struct Answerer {
-    service: BoundedService,
-    client: Rc<ClientSocket>,
-    counters: Rc<Counters>,
-    /// Whether the connection came when there was no room.
-    over: bool,
-    stage: watch::Receiver<ShutdownPhase>,
-}
-
-impl Answerer {
-    async fn answer(self, request: Request<Incoming>) -> Result<Response<TrackedBody>, Infallible> {
-        let client = self.client.clone();
-        let arrival = ReceivedRequest { request, client: client.clone(), stage: self.stage.clone() };
-        let mut response = if self.over {
-            log::debug!("connection {}: a request is refused: too many connections", client.number());
-            platform::refusal(Some(RETRY_AFTER))
-        } else {
-            match self.service.clone().oneshot(arrival).await {
-                Ok(response) => response,
-                Err(_) => {
-                    log::debug!("connection {}: a request is refused: too many wait", client.number());
-                    self.counters.requests_shed.increment();
-                    platform::refusal(Some(RETRY_AFTER))
-                }
-            }
-        };
-        if self.is_last() {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            client.answers_last();
-        }
-        if response.body().is_stream() {
-            client.streams();
-        }
-        Ok(response.map(|body| TrackedBody { body, client }))
-    }
-
-    /// Whether the connection ends with this answer. A graceful shutdown still refuses what has arrived behind it.
-    fn is_last(&self) -> bool {
-        let closing = *self.stage.borrow() == ShutdownPhase::Closing;
-        self.over || self.client.is_spent() || self.client.has_left() || closing && !self.client.has_unread()
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/net/server/accept/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -1,27 +1,58 @@
-//! Tests of what is private to `server`.
+//! Tests of what is private to `accept`.
 
 use super::*;
-use crate::frontend::service::ServiceContext;
-use crate::net::server::budget::Budget;
-use crate::runtime::{Clock, DriverHandle};
+use crate::net::server::handler::HandlerBody;
+use crate::net::server::received_request::ReceivedRequest;
+use bytes::Bytes;
+use http_body_util::Empty;
+use hyper::Response;
 use rstest::rstest;
 use rustix::io::Errno;
 use std::collections::VecDeque;
+use std::convert::Infallible;
+use std::task::{Context, Poll};
 use tokio::task::LocalSet;
+use tower::Service;
 
-fn listener() -> Listener {
-    let (driver, _queue) = DriverHandle::channel(Clock::start());
-    let shared = ServiceContext {
-        driver,
-        classes: Vec::new(),
-        ready: Box::new(|| true),
-        counters: Rc::default(),
-        budget: Budget::new(1024),
-        ids: Default::default(),
-    };
+/// A handler whose responses are empty.
+#[derive(Clone, Default)]
+struct EmptyResponses(Rc<Counters>);
+
+impl HandlerBody for Empty<Bytes> {
+    fn is_stream(&self) -> bool {
+        false
+    }
+}
+
+impl RequestHandler for EmptyResponses {
+    type Body = Empty<Bytes>;
+
+    fn overload_response(&self) -> Response<Self::Body> {
+        Response::default()
+    }
+
+    fn counters(&self) -> &Rc<Counters> {
+        &self.0
+    }
+}
+
+impl Service<ReceivedRequest> for EmptyResponses {
+    type Response = Response<Empty<Bytes>>;
+    type Error = Infallible;
+    type Future = std::future::Ready<Result<Self::Response, Infallible>>;
+
+    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn call(&mut self, _: ReceivedRequest) -> Self::Future {
+        std::future::ready(Ok(Response::default()))
+    }
+}
+
+fn listener() -> Listener<EmptyResponses> {
     let (_stage, stage) = watch::channel(ShutdownPhase::Closing);
-    let service = RequestService { shared: Rc::new(shared), tools: None };
-    Listener { service, bound: 64, waiting: 64, stage, open: Rc::default() }
+    Listener { service: EmptyResponses::default(), bound: 64, waiting: 64, stage, open: Rc::default() }
 }
 
 fn error(errno: Errno) -> io::Error {
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -5,18 +5,16 @@
 //! if it was not read. A socket closed over unread bytes is reset, and what the client has not read is lost with it, so
 //! the client has some time to close first.
 
-use crate::frontend::service::MAX_BODY_BYTES;
-use crate::net::Local;
-use crate::net::server::accept::{ShutdownPhase, TrackedBody};
 use crate::net::server::client_socket::{ClientSocket, GatedSocket};
+use crate::net::server::connection_handler::ConnectionHandler;
+use crate::net::server::handler::RequestHandler;
+use crate::net::server::received_request::MAX_BODY_BYTES;
+use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::socket::Socket;
 use crate::rules::close::{CloseReason, Eviction, Phase, close_due, is_at_rest, may_close};
 use crate::runtime::counters::Counters;
-use hyper::body::Incoming;
 use hyper::server::conn::http1;
-use hyper::{Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use std::convert::Infallible;
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,21 +34,14 @@
 const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
 /// Serves a connection until it has ended.
-pub async fn serve<S>(
-    service: S,
+pub async fn serve<H: RequestHandler>(
+    handler: ConnectionHandler<H>,
     stage: watch::Receiver<ShutdownPhase>,
     client: &Rc<ClientSocket>,
     counters: &Counters,
-) where
-    S: hyper::service::Service<
-            Request<Incoming>,
-            Response = Response<TrackedBody>,
-            Error = Infallible,
-            Future = Local<Result<Response<TrackedBody>, Infallible>>,
-        > + Unpin,
-{
+) {
     let _ = client.stream().set_nodelay(true);
-    let reason = run(service, stage, client).await;
+    let reason = run(handler, stage, client).await;
     log::debug!("connection {}: ends: {reason}", client.number());
     match reason {
         // hyper has answered what was no HTTP with a 4xx of its own.
@@ -71,24 +62,16 @@
 }
 
 /// Lets hyper read requests and answer them until the connection has to end.
-async fn run<S>(
-    service: S,
+async fn run<H: RequestHandler>(
+    handler: ConnectionHandler<H>,
     mut stage: watch::Receiver<ShutdownPhase>,
     client: &Rc<ClientSocket>,
-) -> CloseReason
-where
-    S: hyper::service::Service<
-            Request<Incoming>,
-            Response = Response<TrackedBody>,
-            Error = Infallible,
-            Future = Local<Result<Response<TrackedBody>, Infallible>>,
-        > + Unpin,
-{
+) -> CloseReason {
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
         .max_buf_size(64 * 1024)
-        .serve_connection(TokioIo::new(GatedSocket::new(client.clone())), service);
+        .serve_connection(TokioIo::new(GatedSocket::new(client.clone())), handler);
     let mut recheck: Option<Instant> = None;
     loop {
         let is_closing_stage = *stage.borrow_and_update() == ShutdownPhase::Closing;
--- /dev/null
+++ b/src/net/server/connection_handler.rs
@@ -0,0 +1,87 @@
+//! Passes the requests of one connection to the request handler, and decides which response is the connection's last.
+
+use crate::net::Local;
+use crate::net::server::client_socket::ClientSocket;
+use crate::net::server::handler::{HandlerBody, RequestHandler};
+use crate::net::server::received_request::ReceivedRequest;
+use crate::net::server::shutdown_phase::ShutdownPhase;
+use crate::net::server::tracked_body::TrackedBody;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::{Request, Response};
+use std::convert::Infallible;
+use std::rc::Rc;
+use tokio::sync::watch;
+use tower::ServiceExt;
+use tower::limit::ConcurrencyLimit;
+use tower::load_shed::LoadShed;
+
+/// The request handler behind the limit on requests that wait for the head of their response. All connections share
+/// the limit; over it a request is rejected instead of queued.
+pub type LimitedHandler<H> = LoadShed<ConcurrencyLimit<H>>;
+
+/// The hyper service of one connection.
+#[derive(Clone)]
+pub struct ConnectionHandler<H> {
+    /// Answers requests, within the limit of all connections.
+    pub limited: LimitedHandler<H>,
+    /// The same handler, for the responses to requests over a limit.
+    pub handler: H,
+    /// The connection.
+    pub client: Rc<ClientSocket>,
+    /// Whether the connection was accepted over the limit on connections: its requests are rejected.
+    pub is_over_limit: bool,
+    /// How far a graceful shutdown has progressed.
+    pub shutdown: watch::Receiver<ShutdownPhase>,
+}
+
+impl<H: RequestHandler> ConnectionHandler<H> {
+    async fn respond(self, request: Request<Incoming>) -> Response<TrackedBody<H::Body>> {
+        let mut response = self.handle(request).await;
+        if self.is_last_response() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            self.client.answers_last();
+        }
+        if response.body().is_stream() {
+            self.client.streams();
+        }
+        response.map(|body| TrackedBody::new(body, self.client))
+    }
+
+    async fn handle(&self, request: Request<Incoming>) -> Response<H::Body> {
+        let client = &self.client;
+        if self.is_over_limit {
+            log::debug!("connection {}: request rejected: too many connections", client.number());
+            return self.handler.overload_response();
+        }
+        let received = ReceivedRequest { request, client: client.clone(), shutdown: self.shutdown.clone() };
+        // The handler itself does not fail: an error is the limit's.
+        let Ok(response) = self.limited.clone().oneshot(received).await else {
+            log::debug!("connection {}: request rejected: too many requests wait", client.number());
+            self.handler.counters().requests_shed.increment();
+            return self.handler.overload_response();
+        };
+        response
+    }
+
+    /// Whether the connection closes after this response. During a graceful shutdown it does not while a further
+    /// request has arrived: that one is still to be rejected.
+    fn is_last_response(&self) -> bool {
+        let is_closing = *self.shutdown.borrow() == ShutdownPhase::Closing;
+        self.is_over_limit
+            || self.client.is_spent()
+            || self.client.has_left()
+            || is_closing && !self.client.has_unread()
+    }
+}
+
+impl<H: RequestHandler> hyper::service::Service<Request<Incoming>> for ConnectionHandler<H> {
+    type Response = Response<TrackedBody<H::Body>>;
+    type Error = Infallible;
+    type Future = Local<Result<Self::Response, Infallible>>;
+
+    fn call(&self, request: Request<Incoming>) -> Self::Future {
+        let handler = self.clone();
+        Box::pin(async move { Ok(handler.respond(request).await) })
+    }
+}
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -35,7 +35,7 @@
 /// The server side, on a socket of its own.
 pub struct Server {
     pub listener: TcpListener,
-    pub accepting: Listener,
+    pub accepting: Listener<RequestService>,
     pub stage: watch::Sender<ShutdownPhase>,
     pub open: Rc<Connections>,
     pub driver: mpsc::UnboundedReceiver<DriverInput>,
