--- a/src/frontend/context.rs
+++ b/src/frontend/context.rs
@@ -1,6 +1,6 @@
 //! What the protocols that clients speak have in common.
 
-use crate::net::server::budget::Budget;
+use crate::net::server::memory_budget::MemoryBudget;
 use crate::runtime::DriverHandle;
 use crate::runtime::counters::Counters;
 use std::cell::RefCell;
@@ -18,7 +18,7 @@
     /// Counters of the whole router.
     pub counters: Rc<Counters>,
     /// The memory that request bodies may take at once.
-    pub budget: Rc<Budget>,
+    pub budget: Rc<MemoryBudget>,
     /// Ids of active requests.
     pub ids: RefCell<HashSet<String>>,
 }
--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -312,7 +312,7 @@
             }
             Sink::Text { client, .. } => {
                 let client = client.clone();
-                Box::pin(async move { client.left().await })
+                Box::pin(async move { client.disconnected().await })
             }
         }
     }
@@ -534,7 +534,7 @@
         let prompt_tokens = params.prompt_len.unwrap_or(body.len() as u64 / 4);
         let ask = RequestSpec {
             request: RequestId(0),
-            deadline: self.shared.driver.clock.ago(client.waited()) + params.deadline_ms * 1000,
+            deadline: self.shared.driver.clock.ago(client.pipeline_wait()) + params.deadline_ms * 1000,
             session: params.session.map(Into::into),
             prefix: params.prefix.map(Into::into),
             prefix_tokens: params.prefix_len.min(prompt_tokens),
@@ -552,7 +552,7 @@
         let call =
             ForwardedRequest { id, target, headers, body, client: client.connection(), resources: None };
         let waiting =
-            self.shared.driver.submit_request(ask, call).response_unless_disconnected(client.left());
+            self.shared.driver.submit_request(ask, call).response_unless_disconnected(client.disconnected());
         let (answer, presence) = tokio::select! {
             answered = waiting => answered,
             _ = in_hand.stop.wait_for(|s| *s != Stop::No) => return Err(CANCELLED),
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -5,9 +5,10 @@
 use crate::frontend::platform::{self, ResponseBody, plain};
 use crate::interface::Micros;
 use crate::net::Local;
-use crate::net::server::budget::Held;
 use crate::net::server::client_socket::ClientSocket;
+use crate::net::server::framing::HeadFraming;
 use crate::net::server::handler::{HandlerBody, RequestHandler};
+use crate::net::server::memory_budget::MemoryReservation;
 use crate::net::server::received_request::{MAX_BODY_BYTES, ReceivedRequest};
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::counters::Counters;
@@ -53,7 +54,7 @@
 
     async fn respond(self, arrival: ReceivedRequest) -> Response<ResponseBody> {
         let ReceivedRequest { request, client, shutdown } = arrival;
-        if !client.is_next_head_sound() {
+        if client.next_head_framing() == HeadFraming::Ambiguous {
             return self.bad(StatusCode::BAD_REQUEST, "ambiguous framing\n");
         }
         let path = request.uri().path();
@@ -89,10 +90,11 @@
     ) -> Response<ResponseBody> {
         let shared = self.shared.clone();
         let (head, body) = request.into_parts();
-        let mut intake = match platform::decode(&head.headers, shared.driver.clock.ago(client.waited())) {
-            Ok(intake) => intake,
-            Err(what) => return self.bad(StatusCode::BAD_REQUEST, what),
-        };
+        let mut intake =
+            match platform::decode(&head.headers, shared.driver.clock.ago(client.pipeline_wait())) {
+                Ok(intake) => intake,
+                Err(what) => return self.bad(StatusCode::BAD_REQUEST, what),
+            };
         if !shared.classes.contains(&intake.ask.class) {
             return self.bad(StatusCode::BAD_REQUEST, "unknown class\n");
         }
@@ -105,7 +107,7 @@
             intake.ask.prompt_tokens = body.len() as u64 / 4;
         }
         // Its request may have waited behind an earlier one, or to be accepted.
-        if client.has_left() {
+        if client.has_disconnected() {
             log::debug!("request {}: refused: its client has left", intake.id);
             shared.counters.client_disconnects.increment();
             return platform::refusal(None);
@@ -136,7 +138,7 @@
             resources: keeps,
         };
         let answering = shared.driver.submit_request(intake.ask, call);
-        let (answer, presence) = answering.response_unless_disconnected(client.left()).await;
+        let (answer, presence) = answering.response_unless_disconnected(client.disconnected()).await;
         platform::encode(answer, presence)
     }
 
@@ -146,29 +148,29 @@
         &self,
         mut body: Incoming,
         client: &ClientSocket,
-    ) -> Result<(Bytes, Held), Response<ResponseBody>> {
+    ) -> Result<(Bytes, MemoryReservation), Response<ResponseBody>> {
         let too_long = || self.bad(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n");
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(too_long());
         }
-        let (mut whole, mut held) = (BytesMut::new(), Held::new(self.shared.budget.clone()));
+        let (mut whole, mut held) = (BytesMut::new(), MemoryReservation::new(self.shared.budget.clone()));
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return Err(self.bad(StatusCode::BAD_REQUEST, "body broken\n")) };
             let Ok(data) = frame.into_data() else { continue };
             if whole.len() + data.len() > MAX_BODY_BYTES {
                 return Err(too_long());
             }
-            if !held.grow(data.len()) {
+            if held.grow(data.len()).is_err() {
                 log::debug!("connection {}: a request is refused: no room for bodies", client.number());
                 self.shared.counters.requests_shed.increment();
                 return Err(platform::refusal(Some(RETRY_AFTER)));
             }
             whole.extend_from_slice(&data);
         }
-        if client.has_excess() {
+        if client.has_excess_bytes() {
             return Err(self.bad(StatusCode::BAD_REQUEST, "more bytes than the length says\n"));
         }
-        client.request_is_whole();
+        client.complete_request();
         Ok((whole.freeze(), held))
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,8 +7,8 @@
 use llm_router::logging::Log;
 use llm_router::net::discovery::{Backoff, Directory, EndpointWatcher, dial_tcp};
 use llm_router::net::server::accept::{Listener, RESERVED_CONNECTIONS, ShutdownPhase};
-use llm_router::net::server::budget::Budget;
 use llm_router::net::server::connections::Connections;
+use llm_router::net::server::memory_budget::MemoryBudget;
 use llm_router::net::socket::listen;
 use llm_router::net::upstream::client::UpstreamClient;
 use llm_router::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
@@ -205,7 +205,7 @@
         classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
         ready: Box::new(ready),
         counters: counters.clone(),
-        budget: Budget::new(config.limits.memory_mb * 1024 * 1024 / 3),
+        budget: MemoryBudget::new(config.limits.memory_mb * 1024 * 1024 / 3),
         ids: RefCell::default(),
     });
     let seed = config.seed;
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -4,7 +4,7 @@
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::connection::serve;
 use crate::net::server::connection_handler::{ConnectionHandler, LimitedHandler};
-use crate::net::server::connections::Connections;
+use crate::net::server::connections::{Connections, EvictionResult};
 use crate::net::server::handler::RequestHandler;
 pub use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::counters::Counters;
@@ -15,36 +15,37 @@
 use tokio::sync::watch;
 use tower::ServiceBuilder;
 
-/// Connections over the bound that are still told so; beyond them, one that is not being answered has to go at once for
-/// each that comes.
+/// Connections beyond the limit whose requests are still answered, with a rejection. Beyond these too, each accepted
+/// connection evicts one that is not being answered.
 pub const RESERVED_CONNECTIONS: usize = 16;
-/// Within this an evicted connection is gone if it can go.
-const EVICTION_TIME: Duration = Duration::from_millis(5);
-/// After an accept that failed for want of a descriptor: by then the connection that had to go for it is closed.
+/// How long an evicted connection may take to close before another one is evicted.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
+/// The pause after an accept that failed for lack of a descriptor, in which the evicted connection closes, and after
+/// every [`MAX_FAILURES_WITHOUT_PAUSE`] failures of another kind.
 const ACCEPT_FAILED_PAUSE: Duration = Duration::from_millis(5);
-/// Accepts in a row that may fail without a pause.
-const MAX_FAILURES_AT_ONCE: u32 = 16;
-/// Accepts that fail in a row before the rest of the system's queue is given up.
-const MAX_ACCEPT_FAILURES: u32 = 1_600;
+/// How many accepts in a row may fail before there is a pause.
+const MAX_FAILURES_WITHOUT_PAUSE: u32 = 16;
+/// How many accepts in a row may fail before the rest of the system's queue is given up on.
+const MAX_CONSECUTIVE_FAILURES: u32 = 1_600;
 
-/// Accepts that have failed in a row.
+/// How many accepts have failed in a row.
 #[derive(Default)]
-struct AcceptFailures(u32);
+struct ConsecutiveFailures(u32);
 
-impl AcceptFailures {
-    fn is_first(&self) -> bool {
+impl ConsecutiveFailures {
+    fn is_empty(&self) -> bool {
         self.0 == 0
     }
 
     fn are_too_many(&self) -> bool {
-        self.0 >= MAX_ACCEPT_FAILURES
+        self.0 >= MAX_CONSECUTIVE_FAILURES
     }
 
-    /// A failure takes no time: the next connection may be there already, and others wait behind it. Only what lasts must
-    /// not keep the rest of the program from its turn, and an evicted connection has to be closed first.
-    async fn pause(&mut self, failure: AcceptFailure) {
+    /// Counts a failure. It costs no time, since the next connection may be there already and others wait behind it;
+    /// only a failure that lasts must not keep other tasks from running, and an evicted connection needs time to close.
+    async fn record_and_pause(&mut self, failure: AcceptFailure) {
         self.0 += 1;
-        if failure == AcceptFailure::OwnDescriptors || self.0.is_multiple_of(MAX_FAILURES_AT_ONCE) {
+        if failure == AcceptFailure::OwnDescriptors || self.0.is_multiple_of(MAX_FAILURES_WITHOUT_PAUSE) {
             tokio::time::sleep(ACCEPT_FAILED_PAUSE).await;
         } else {
             tokio::task::yield_now().await;
@@ -52,133 +53,146 @@
     }
 }
 
-/// Accepts clients until told to stop, at most `bound` at once.
+/// Accepts client connections and serves each in a task of its own, until a graceful shutdown closes the listener.
 pub struct Listener<H> {
     /// Answers requests.
     pub service: H,
-    /// Most client connections; [`RESERVED_CONNECTIONS`] more are told that there is no room.
+    /// The most client connections; the requests of [`RESERVED_CONNECTIONS`] more are rejected.
     pub bound: usize,
-    /// Most requests that wait for their first event.
+    /// The most requests that wait for the head of their response.
     pub waiting: usize,
-    /// How far the end has come.
+    /// How far a graceful shutdown has progressed.
     pub stage: watch::Receiver<ShutdownPhase>,
-    /// Connections that are open.
+    /// The open connections.
     pub open: Rc<Connections>,
 }
 
 impl<H: RequestHandler> Listener<H> {
-    /// Accepts until the closing stage, and then what still waits in the system's queue: a listener closed over
-    /// connections resets them.
+    /// Accepts connections until the shutdown's closing phase, and then those that already wait in the system's queue:
+    /// closing the listener over them would reset them. Resolves when they have been accepted; their tasks run on.
+    ///
+    /// Dropped early, it closes the listener and leaves the accepted connections running.
     pub async fn accept(self, listener: TcpListener) {
-        // Over its bound the service refuses: tower's shed turns a full limit into an error, answered below.
-        let service =
+        // Over its concurrency limit the handler is not ready; load shedding turns that into an error, which the
+        // connection's handler answers with a rejection.
+        let limited =
             ServiceBuilder::new().load_shed().concurrency_limit(self.waiting).service(self.service.clone());
         let mut stage = self.stage.clone();
         tokio::select! {
+            // The shutdown first: connections that arrive faster than they are accepted must not delay it.
             biased;
-            _ = stage.wait_for(|s| *s == ShutdownPhase::Closing) => {}
-            () = self.accept_next(&listener, &service) => {}
+            _ = stage.wait_for(|phase| *phase == ShutdownPhase::Closing) => {}
+            () = self.accept_all(&listener, &limited) => {}
         }
-        self.drain_backlog(listener, &service).await;
+        self.drain_backlog(listener, &limited).await;
     }
 
-    /// Accepts one after another, also in a full house: none is left to wait in the system's queue.
-    async fn accept_next(&self, listener: &TcpListener, service: &LimitedHandler<H>) {
-        let mut failures = AcceptFailures::default();
+    /// Accepts one connection after another, over the limit too: none is left to wait in the system's queue.
+    async fn accept_all(&self, listener: &TcpListener, limited: &LimitedHandler<H>) {
+        let mut failures = ConsecutiveFailures::default();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    failures = AcceptFailures::default();
-                    self.admit(stream, service);
-                    self.keep_reserve().await;
+                    failures = ConsecutiveFailures::default();
+                    self.spawn_connection(stream, limited);
+                    self.enforce_hard_limit().await;
                 }
-                Err(error) => self.accept_failed(&error, &mut failures).await,
+                Err(error) => self.handle_accept_error(&error, &mut failures).await,
             }
         }
     }
 
-    /// Makes the next accept possible, as far as anything can be done about it here.
-    async fn accept_failed(&self, error: &io::Error, failures: &mut AcceptFailures) {
+    /// Makes the next accept possible, as far as this process can.
+    async fn handle_accept_error(&self, error: &io::Error, failures: &mut ConsecutiveFailures) {
         self.counters().accept_errors.increment();
         let failure = accept_failure(error);
-        if failures.is_first() {
+        if failures.is_empty() {
             log::warn!("accept: {error} ({failure:?})");
         }
         if failure == AcceptFailure::OwnDescriptors {
-            self.open.make_room_at_once(self.counters());
+            self.open.evict_at_once(self.counters());
         }
-        failures.pause(failure).await;
+        failures.record_and_pause(failure).await;
     }
 
-    /// Waits until there are no more connections than there may be. Those over the bound are refused as soon as they
-    /// ask, so among them there is always one that can go.
-    async fn keep_reserve(&self) {
+    /// Evicts connections until they are within the limit and its reserve. Those over the limit are rejected as soon as
+    /// they send a request, so one of them can always be evicted.
+    async fn enforce_hard_limit(&self) {
         while self.open.count() > self.bound + RESERVED_CONNECTIONS {
-            self.open.make_room_at_once(self.counters());
-            // One whose request came in this moment is answered first: then another has to go.
-            let _ = tokio::time::timeout(EVICTION_TIME, self.open.freed()).await;
+            self.open.evict_at_once(self.counters());
+            // An evicted connection whose request arrives at this moment is answered first: then another one is evicted.
+            let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.open.slot_released()).await;
         }
     }
 
-    /// Takes in what waits in the system's queue, and no more.
-    async fn drain_backlog(&self, listener: TcpListener, service: &LimitedHandler<H>) {
-        // Asked directly: the runtime may not have looked at the listener since the last connection came.
+    /// Accepts the connections that already wait in the system's queue.
+    async fn drain_backlog(&self, listener: TcpListener, limited: &LimitedHandler<H>) {
+        // The system is asked directly: the runtime may not have polled the listener since the last connection arrived.
         let Ok(listener) = listener.into_std() else { return };
         let accept = || {
             let (stream, _) = listener.accept()?;
             stream.set_nonblocking(true)?;
             TcpStream::from_std(stream)
         };
-        self.drain(accept, service).await;
+        self.drain(accept, limited).await;
     }
 
-    /// Takes in what `accept` gives until nothing waits any more. A failure ends it only when it lasts.
-    async fn drain(&self, mut accept: impl FnMut() -> io::Result<TcpStream>, service: &LimitedHandler<H>) {
-        let mut failures = AcceptFailures::default();
+    /// Accepts until nothing waits any more. Only failures without end stop it earlier.
+    async fn drain(&self, mut accept: impl FnMut() -> io::Result<TcpStream>, limited: &LimitedHandler<H>) {
+        let mut failures = ConsecutiveFailures::default();
         loop {
             match accept() {
                 Ok(stream) => {
-                    failures = AcceptFailures::default();
-                    self.admit(stream, service);
+                    failures = ConsecutiveFailures::default();
+                    self.spawn_connection(stream, limited);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) if failures.are_too_many() => return,
-                Err(error) => self.accept_failed(&error, &mut failures).await,
+                Err(error) => self.handle_accept_error(&error, &mut failures).await,
             }
         }
     }
 
-    fn counters(&self) -> &Rc<Counters> {
-        self.service.counters()
-    }
-
-    /// Takes a connection in, and serves it beside the others.
-    fn admit(&self, stream: TcpStream, service: &LimitedHandler<H>) {
+    /// Registers a connection and serves it in a task of its own.
+    fn spawn_connection(&self, stream: TcpStream, limited: &LimitedHandler<H>) {
         let counters = self.counters().clone();
         counters.client_connections.increment();
         let client = ClientSocket::new(self.open.next_number(), Rc::new(stream));
-        let place = self.open.enter(client.clone());
-        // Room is made before there is none: clients that keep their connections for good must not leave a burst
-        // to those that are refused.
-        let crowded = self.open.count() > self.bound * 3 / 4;
-        let over = crowded && !self.open.make_room(&counters) && self.open.count() > self.bound;
+        let slot = self.open.register(client.clone());
+        let is_over_limit = self.is_over_limit();
         log::debug!("connection {}: accepted, {} are open", client.number(), self.open.count());
-        if over {
+        if is_over_limit {
             counters.connections_rejected.increment();
         }
         let handler = ConnectionHandler {
-            limited: service.clone(),
+            limited: limited.clone(),
             handler: self.service.clone(),
             client: client.clone(),
-            is_over_limit: over,
+            is_over_limit,
             shutdown: self.stage.clone(),
         };
-        let stage = self.stage.clone();
+        let shutdown = self.stage.clone();
         tokio::task::spawn_local(async move {
-            let _place = place;
-            serve(handler, stage, &client, &counters).await;
+            let _slot = slot;
+            serve(handler, shutdown, &client, &counters).await;
         });
     }
+
+    /// Whether the connection that was registered last is to be rejected.
+    ///
+    /// From three quarters of the limit on each further connection evicts a settled one, ahead of need: clients that
+    /// keep their connections open for good would otherwise leave nothing for a burst.
+    fn is_over_limit(&self) -> bool {
+        if self.open.count() <= self.bound * 3 / 4 {
+            return false;
+        }
+        let eviction = self.open.evict_early(self.counters());
+        eviction == EvictionResult::NoCandidate && self.open.count() > self.bound
+    }
+
+    fn counters(&self) -> &Rc<Counters> {
+        self.service.counters()
+    }
 }
 
 #[cfg(test)]
--- a/src/net/server/accept/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -59,8 +59,8 @@
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
-/// What accepts of a queue of connections give, each of them behind `failures`.
-async fn results_behind(failures: &[Errno], connections: usize) -> VecDeque<io::Result<TcpStream>> {
+/// The results of accepting from a queue of connections, each of them preceded by `failures`.
+async fn results_after(failures: &[Errno], connections: usize) -> VecDeque<io::Result<TcpStream>> {
     let queue = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = queue.local_addr().unwrap();
     let mut results = VecDeque::new();
@@ -72,41 +72,44 @@
     results
 }
 
-/// Guards against newcomers that waited for seconds behind others: each accept that failed, of whomever, took 5 ms.
+/// Guards against new clients that waited for seconds: each failed accept, whatever its cause, once took 5 ms.
 #[rstest]
-#[case::of_the_machine(&[Errno::NFILE], Duration::ZERO)]
-#[case::of_connections(&[Errno::CONNABORTED, Errno::INTR], Duration::ZERO)]
-#[case::that_lasts(&[Errno::NFILE; 20], 10 * ACCEPT_FAILED_PAUSE)]
+#[case::machine_short_of_descriptors(&[Errno::NFILE], Duration::ZERO)]
+#[case::connections_gone(&[Errno::CONNABORTED, Errno::INTR], Duration::ZERO)]
+#[case::lasting(&[Errno::NFILE; 20], 10 * ACCEPT_FAILED_PAUSE)]
 #[tokio::test(start_paused = true)]
-async fn a_failure_takes_time_only_when_it_lasts(#[case] failures: &[Errno], #[case] wanted: Duration) {
-    let story = async {
+async fn an_accept_failure_costs_time_only_when_it_lasts(
+    #[case] failures: &[Errno],
+    #[case] expected: Duration,
+) {
+    let scenario = async {
         let listener = listener();
-        let service =
+        let limited =
             ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.service.clone());
-        let mut results = results_behind(failures, 10).await;
+        let mut results = results_after(failures, 10).await;
         let accept = || results.pop_front().unwrap_or_else(|| Err(io::ErrorKind::WouldBlock.into()));
-        let begun = tokio::time::Instant::now();
-        listener.drain(accept, &service).await;
+        let started = tokio::time::Instant::now();
+        listener.drain(accept, &limited).await;
         assert_eq!(listener.counters().client_connections.get(), 10);
-        // The runtime's timers are good to a millisecond.
-        assert!(begun.elapsed().abs_diff(wanted) <= Duration::from_millis(10), "{:?}", begun.elapsed());
+        // The runtime's timers have a resolution of a millisecond.
+        assert!(started.elapsed().abs_diff(expected) <= Duration::from_millis(10), "{:?}", started.elapsed());
     };
-    LocalSet::new().run_until(story).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against connections that are reset with the listener because an accept before them had failed.
+/// Guards against connections that are reset when the listener closes because an accept before them had failed.
 #[tokio::test(start_paused = true)]
-async fn an_accept_that_fails_does_not_end_the_emptying_of_the_queue() {
-    let story = async {
+async fn a_failed_accept_does_not_stop_draining_the_backlog() {
+    let scenario = async {
         let listener = listener();
-        let service =
+        let limited =
             ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.service.clone());
         let failures =
             [Errno::CONNABORTED, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::MFILE, Errno::PROTO];
-        let mut results = results_behind(&failures, 6).await;
+        let mut results = results_after(&failures, 6).await;
         let accept = || results.pop_front().unwrap_or_else(|| Err(io::ErrorKind::WouldBlock.into()));
-        listener.drain(accept, &service).await;
+        listener.drain(accept, &limited).await;
         assert_eq!(listener.counters().client_connections.get(), 6);
     };
-    LocalSet::new().run_until(story).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -1,159 +1,114 @@
-//! One client connection, from its accept to its end: reading, in hand, answering, idle, closing.
+//! The life of one client connection, from its accept to its close.
 //!
-//! hyper reads requests and writes answers; when the connection ends is decided here. From the moment in which its
-//! sending side is shut down nothing is read any more: a request that crosses the close may be sent again elsewhere only
-//! if it was not read. A socket closed over unread bytes is reset, and what the client has not read is lost with it, so
-//! the client has some time to close first.
+//! hyper reads requests and writes responses; this module decides when the connection ends. From the moment in which its
+//! sending side is shut down no request is read any more: a request that crosses the close on the wire may be sent again
+//! elsewhere only if it was not read.
 
-use crate::net::server::client_socket::{ClientSocket, GatedSocket};
+use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::connection_handler::ConnectionHandler;
+use crate::net::server::gated_socket::GatedSocket;
 use crate::net::server::handler::RequestHandler;
-use crate::net::server::received_request::MAX_BODY_BYTES;
+use crate::net::server::lingering_close::close_lingering;
 use crate::net::server::shutdown_phase::ShutdownPhase;
-use crate::net::socket::Socket;
-use crate::rules::close::{CloseReason, Eviction, Phase, close_due, is_at_rest, may_close};
+use crate::rules::close::{CloseReason, Phase, close_due, is_at_rest, may_close};
 use crate::runtime::counters::Counters;
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::AsyncReadExt;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// After the sending side is shut down, the client has this long to close.
-const LINGER: Duration = Duration::from_secs(1);
-/// The same where the place is wanted for others: a round trip on any ordinary way.
-const LINGER_EVICTED: Duration = Duration::from_millis(200);
-/// Bytes that have arrived reach hyper within this.
-const UNREAD_RECHECK: Duration = Duration::from_millis(1);
-/// Bytes of an answered request that are read and dropped meanwhile.
-const MAX_DISCARDED: usize = 2 * MAX_BODY_BYTES;
-/// For a request that did not come in time.
-const TOO_SLOW: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
+/// The most bytes that hyper buffers of one connection; no longer head is accepted.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
+/// hyper learns of bytes that have been received within this time.
+const UNREAD_RECHECK_INTERVAL: Duration = Duration::from_millis(1);
+/// The response to a request that did not arrive completely in time.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Serves a connection until it has ended.
+/// Serves a connection until it has ended. Dropped early, it closes the socket at once, which resets a client
+/// whose bytes have not all been read.
 pub async fn serve<H: RequestHandler>(
     handler: ConnectionHandler<H>,
-    stage: watch::Receiver<ShutdownPhase>,
+    shutdown: watch::Receiver<ShutdownPhase>,
     client: &Rc<ClientSocket>,
     counters: &Counters,
 ) {
     let _ = client.stream().set_nodelay(true);
-    let reason = run(handler, stage, client).await;
+    let reason = serve_requests(handler, shutdown, client).await;
     log::debug!("connection {}: ends: {reason}", client.number());
     match reason {
-        // hyper has answered what was no HTTP with a 4xx of its own.
+        // hyper has answered what was not HTTP with a 4xx of its own.
         CloseReason::Unreadable => counters.requests_malformed.increment(),
         CloseReason::RequestOverdue => {
             counters.requests_timed_out.increment();
-            let _ = client.stream().try_write(TOO_SLOW);
+            let _ = client.stream().try_write(REQUEST_TIMEOUT_RESPONSE);
         }
+        // The client takes nothing more: there is no response to protect from a reset.
         CloseReason::WriteBlocked | CloseReason::ClientLeft => return,
         CloseReason::ByHttp | CloseReason::Idle | CloseReason::Evicted | CloseReason::Shutdown => {}
     }
-    client.closes();
-    tokio::select! {
-        () = close(client) => {}
-        () = tokio::time::sleep(LINGER) => {}
-        () = evicted(client) => {}
-    }
+    close_lingering(client).await;
 }
 
-/// Lets hyper read requests and answer them until the connection has to end.
-async fn run<H: RequestHandler>(
+/// Lets hyper read requests and answer them until the connection has to end; returns why.
+async fn serve_requests<H: RequestHandler>(
     handler: ConnectionHandler<H>,
-    mut stage: watch::Receiver<ShutdownPhase>,
+    mut shutdown: watch::Receiver<ShutdownPhase>,
     client: &Rc<ClientSocket>,
 ) -> CloseReason {
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(64 * 1024)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(TokioIo::new(GatedSocket::new(client.clone())), handler);
-    let mut recheck: Option<Instant> = None;
+    let mut recheck_at: Option<Instant> = None;
     loop {
-        let is_closing_stage = *stage.borrow_and_update() == ShutdownPhase::Closing;
-        let facts = client.facts(is_closing_stage);
-        if is_closing_stage && is_at_rest(&facts) && !client.has_unread() {
+        let is_closing = *shutdown.borrow_and_update() == ShutdownPhase::Closing;
+        let facts = client.facts(is_closing);
+        if is_closing && is_at_rest(&facts) && !client.has_unread_bytes() {
             return CloseReason::Shutdown;
         }
-        let due = close_due(&facts);
-        let look_at = recheck.take().or_else(|| due.map(|(at, _)| at));
+        let wake_at = recheck_at.take().or_else(|| close_due(&facts).map(|(at, _)| at));
         tokio::select! {
+            // hyper first: requests that have been received by now are read before any deadline is considered. The
+            // deadline last: it decides on what all the others have changed.
             biased;
-            // First: what has come by now is looked at before any deadline is.
-            ended = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ended_by_http(client, ended),
-            Ok(()) = stage.changed() => {}
+            result = poll_fn(|cx| connection.poll_without_shutdown(cx)) => {
+                return close_reason_of_http(client, result);
+            }
+            Ok(()) = shutdown.changed() => {}
             () = client.changed() => {}
-            // One that leaves before is answered all the same: it may only have ended its sending.
-            () = client.left(), if client.phase() == Phase::Streaming => return CloseReason::ClientLeft,
-            () = until(look_at) => {
-                // What hyper has done meanwhile may have changed it.
-                let due = close_due(&client.facts(is_closing_stage));
+            // Only in a stream: a client that disconnects before its response begins is answered all the same, since
+            // it may only have ended its sending.
+            () = client.disconnected(), if client.phase() == Phase::Streaming => return CloseReason::ClientLeft,
+            () = sleep_until(wake_at) => {
+                // Polling hyper may have changed what is due.
+                let due = close_due(&client.facts(is_closing));
                 let Some((_, reason)) = due.filter(|(at, _)| *at <= Instant::now()) else { continue };
-                if reason == CloseReason::WriteBlocked || may_close(client.phase(), client.has_unread()) {
+                if reason == CloseReason::WriteBlocked || may_close(client.phase(), client.has_unread_bytes()) {
                     return reason;
                 }
-                // A request has come that hyper has not been told of: the connection is no longer idle.
-                recheck = Some(Instant::now() + UNREAD_RECHECK);
+                // A request has been received that hyper has not been told of: the connection is no longer idle.
+                recheck_at = Some(Instant::now() + UNREAD_RECHECK_INTERVAL);
             }
         }
     }
 }
 
-async fn until(moment: Option<Instant>) {
+/// Sleeps until this moment; forever without one.
+async fn sleep_until(moment: Option<Instant>) {
     match moment {
         Some(moment) => tokio::time::sleep_until(moment).await,
         None => std::future::pending().await,
     }
 }
 
-fn ended_by_http(client: &ClientSocket, ended: hyper::Result<()>) -> CloseReason {
-    let Err(error) = ended else { return CloseReason::ByHttp };
+/// Why the connection ends after hyper has finished with it.
+fn close_reason_of_http(client: &ClientSocket, result: hyper::Result<()>) -> CloseReason {
+    let Err(error) = result else { return CloseReason::ByHttp };
     log::debug!("connection {}: {error}", client.number());
     if error.is_parse() || error.is_parse_too_large() { CloseReason::Unreadable } else { CloseReason::ByHttp }
 }
-
-/// Resolves when the connection's place is wanted for others, and the client has had a moment to close if there is one.
-async fn evicted(client: &ClientSocket) {
-    while client.eviction() == Eviction::None {
-        client.changed().await;
-    }
-    tokio::select! {
-        () = tokio::time::sleep(LINGER_EVICTED) => {}
-        () = async {
-            while client.eviction() < Eviction::AtOnce {
-                client.changed().await;
-            }
-        } => {}
-    }
-}
-
-/// Ends the sending side, then waits until the client has closed. What is left of a request that has been answered is
-/// read and dropped, or its client might be reset while it sends; nothing behind it is read.
-async fn close(client: &Rc<ClientSocket>) {
-    let _ = Socket::new(client.stream().clone()).end();
-    tokio::select! {
-        () = client.left() => {}
-        () = discard_answered_request(client) => {}
-    }
-    // A client that has only ended its sending may still be reading: over unread bytes it would be reset.
-    if client.has_unread() {
-        std::future::pending().await
-    }
-}
-
-/// Reads and drops the rest of a body whose request has been answered; does not end by itself.
-async fn discard_answered_request(client: &Rc<ClientSocket>) {
-    let mut socket = GatedSocket::new(client.clone());
-    let (mut scrap, mut left) = (vec![0; 8 * 1024], MAX_DISCARDED);
-    while client.is_spent() && left > 0 {
-        match socket.read(&mut scrap).await {
-            Ok(bytes) if bytes > 0 => left = left.saturating_sub(bytes),
-            _ => break,
-        }
-    }
-    std::future::pending().await
-}
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -40,10 +40,10 @@
         let mut response = self.handle(request).await;
         if self.is_last_response() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            self.client.answers_last();
+            self.client.mark_last_response();
         }
         if response.body().is_stream() {
-            self.client.streams();
+            self.client.begin_streaming();
         }
         response.map(|body| TrackedBody::new(body, self.client))
     }
@@ -69,9 +69,9 @@
     fn is_last_response(&self) -> bool {
         let is_closing = *self.shutdown.borrow() == ShutdownPhase::Closing;
         self.is_over_limit
-            || self.client.is_spent()
-            || self.client.has_left()
-            || is_closing && !self.client.has_unread()
+            || self.client.is_exhausted()
+            || self.client.has_disconnected()
+            || is_closing && !self.client.has_unread_bytes()
     }
 }
 
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -1,4 +1,4 @@
-//! The client connections that are open, and which of them go when places are short.
+//! The registry of open client connections, and the choice of those that are evicted when connections run short.
 
 use crate::net::server::client_socket::ClientSocket;
 use crate::rules::close::{Eviction, Phase};
@@ -8,87 +8,120 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
+use tokio::time::Instant;
 
-/// Where places are short, a connection may have to go that has been idle for this long: a client that has just
-/// connected gets to send its request.
-const MIN_IDLE: Duration = Duration::from_millis(50);
-/// The same for a request that is still not whole.
-const MIN_ARRIVAL: Duration = Duration::from_millis(400);
+/// A connection idle for less than this is not evicted early: a client that has just connected gets to send its request.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
+/// The same for a connection whose request has not arrived completely.
+const MIN_ARRIVAL_BEFORE_EVICTION: Duration = Duration::from_millis(400);
 
-/// The client connections that are open.
+/// The open client connections.
 #[derive(Default)]
 pub struct Connections {
-    all: RefCell<BTreeMap<u64, Rc<ClientSocket>>>,
-    next: Cell<u64>,
-    /// A place was given back.
-    freed: Notify,
+    open: RefCell<BTreeMap<u64, Rc<ClientSocket>>>,
+    next_number: Cell<u64>,
+    slot_released: Notify,
+}
+
+/// Whether a connection could be evicted for others.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EvictionResult {
+    /// A connection was told to close. It may still be answered first, if a request arrives at this moment.
+    Requested,
+    /// There is no connection that may be closed.
+    NoCandidate,
+}
+
+/// The order in which connections are evicted: by variant, then the longest in its phase first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// Its last response has been sent, and only its client has yet to close.
+    LastResponseSent(Instant),
+    /// Between two requests, or closing where that is not preferred.
+    Idle(Instant),
+    /// Its request is arriving.
+    RequestArriving(Instant),
 }
 
 impl Connections {
-    /// How many there are.
+    /// How many connections are open.
     pub fn count(&self) -> usize {
-        self.all.borrow().len()
+        self.open.borrow().len()
     }
 
-    /// Resolves when a slot has been given back.
-    pub async fn freed(&self) {
-        self.freed.notified().await;
+    /// Resolves when a connection has ended and its slot is free. Cancel-safe; for a single waiter.
+    pub async fn slot_released(&self) {
+        self.slot_released.notified().await;
     }
 
-    /// The number of the next connection.
+    /// The number of the next connection in the log.
     pub fn next_number(&self) -> u64 {
-        let number = self.next.get();
-        self.next.set(number + 1);
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         number
     }
 
-    /// Enters a connection, for as long as its slot is kept.
-    pub fn enter(self: &Rc<Self>, client: Rc<ClientSocket>) -> ConnectionSlot {
+    /// Registers a connection for as long as the returned slot lives.
+    pub fn register(self: &Rc<Self>, client: Rc<ClientSocket>) -> ConnectionSlot {
         let number = client.number();
-        self.all.borrow_mut().insert(number, client);
-        ConnectionSlot(self.clone(), number)
+        self.open.borrow_mut().insert(number, client);
+        ConnectionSlot { connections: self.clone(), number }
     }
 
-    /// Makes room before there is none: the longest idle connection goes, else the one that takes longest to send its
-    /// request. Guards against clients that connect by the hundred and say nothing, or never all.
-    pub fn make_room(&self, counters: &Counters) -> bool {
-        let settled = |phase| match phase {
-            Phase::Idle(since) | Phase::Closing(since) => since.elapsed() >= MIN_IDLE,
-            Phase::Arriving(since) => since.elapsed() >= MIN_ARRIVAL,
+    /// Evicts a connection ahead of need: the one that has been idle longest, else the one whose request has been
+    /// arriving longest. Guards against clients that connect by the hundred and send nothing, or never a complete
+    /// request.
+    pub fn evict_early(&self, counters: &Counters) -> EvictionResult {
+        let may_evict = |phase| match phase {
+            Phase::Idle(since) | Phase::Closing(since) => since.elapsed() >= MIN_IDLE_BEFORE_EVICTION,
+            Phase::Arriving(since) => since.elapsed() >= MIN_ARRIVAL_BEFORE_EVICTION,
             Phase::InHand | Phase::Streaming => false,
         };
-        self.evict(Eviction::Soon, settled, counters)
+        self.evict(Eviction::Soon, may_evict, counters)
     }
 
-    /// Makes room where there is none: whatever is not being answered goes, those first that have their answer.
-    pub fn make_room_at_once(&self, counters: &Counters) -> bool {
+    /// Evicts any connection that is not being answered, since there is no slot left; first those that have had their
+    /// last response.
+    pub fn evict_at_once(&self, counters: &Counters) -> EvictionResult {
         self.evict(Eviction::AtOnce, |_| true, counters)
     }
 
-    fn evict(&self, eviction: Eviction, may_go: impl Fn(Phase) -> bool, counters: &Counters) -> bool {
+    fn evict(
+        &self,
+        eviction: Eviction,
+        may_evict: impl Fn(Phase) -> bool,
+        counters: &Counters,
+    ) -> EvictionResult {
         let rank = |client: &ClientSocket| match client.phase() {
-            phase if !may_go(phase) => None,
-            Phase::Closing(since) if eviction == Eviction::AtOnce => Some((0, since)),
-            Phase::Idle(since) | Phase::Closing(since) => Some((1, since)),
-            Phase::Arriving(since) => Some((2, since)),
+            phase if !may_evict(phase) => None,
+            Phase::Closing(since) if eviction == Eviction::AtOnce => {
+                Some(EvictionRank::LastResponseSent(since))
+            }
+            Phase::Idle(since) | Phase::Closing(since) => Some(EvictionRank::Idle(since)),
+            Phase::Arriving(since) => Some(EvictionRank::RequestArriving(since)),
             Phase::InHand | Phase::Streaming => None,
         };
-        let all = self.all.borrow();
-        let staying = all.values().filter(|c| c.eviction() < eviction && !c.is_write_blocked());
-        let found = staying.filter_map(|c| rank(c).map(|rank| (rank, c))).min_by_key(|(rank, _)| *rank);
-        let Some((_, client)) = found else { return false };
+        let open = self.open.borrow();
+        let candidates = open.values().filter(|c| c.eviction() < eviction && !c.is_write_blocked());
+        let ranked = candidates.filter_map(|client| rank(client).map(|rank| (rank, client)));
+        let Some((_, client)) = ranked.min_by_key(|(rank, _)| *rank) else {
+            return EvictionResult::NoCandidate;
+        };
         client.evict(eviction);
         counters.connections_evicted.increment();
-        true
+        EvictionResult::Requested
     }
 }
 
-/// A connection's place among them, given back when dropped.
-pub struct ConnectionSlot(Rc<Connections>, u64);
+/// A connection's entry in the registry. Dropping it removes the connection and wakes whoever waits for a slot.
+pub struct ConnectionSlot {
+    connections: Rc<Connections>,
+    number: u64,
+}
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.0.all.borrow_mut().remove(&self.1);
-        self.0.freed.notify_one();
+        self.connections.open.borrow_mut().remove(&self.number);
+        self.connections.slot_released.notify_one();
     }
 }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -4,13 +4,17 @@
 //! that it is built with.
 
 pub mod accept;
-pub mod budget;
 pub mod client_socket;
-pub mod connection;
-pub mod connection_handler;
+mod connection;
+mod connection_handler;
 pub mod connections;
 pub mod framing;
+pub mod gated_socket;
 pub mod handler;
+mod lingering_close;
+pub mod memory_budget;
+mod read_gate;
 pub mod received_request;
 pub mod shutdown_phase;
-pub mod tracked_body;
+mod socket_probe;
+mod tracked_body;
--- a/src/net/server/tracked_body.rs
+++ b/src/net/server/tracked_body.rs
@@ -24,7 +24,7 @@
 
 impl<B> Drop for TrackedBody<B> {
     fn drop(&mut self) {
-        self.client.answered();
+        self.client.finish_response();
     }
 }
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use llm_router::net::server::accept::{RESERVED_CONNECTIONS, ShutdownPhase};
-use llm_router::net::server::client_socket::{ClientSocket, GatedSocket};
+use llm_router::net::server::client_socket::ClientSocket;
+use llm_router::net::server::gated_socket::GatedSocket;
 use rstest::rstest;
 use std::future::poll_fn;
 use std::io::Write;
@@ -226,7 +227,7 @@
     client.write_all(HEALTH).await.unwrap();
     let mut request = vec![0; HEALTH.len()];
     GatedSocket::new(socket.clone()).read_exact(&mut request).await.unwrap();
-    let (mut left, mut looks) = (pin!(socket.left()), 0);
+    let (mut left, mut looks) = (pin!(socket.disconnected()), 0);
     let waiting = poll_fn(|cx| {
         looks += 1;
         left.as_mut().poll(cx)
@@ -234,5 +235,5 @@
     assert!(tokio::time::timeout(Duration::from_secs(10), waiting).await.is_err(), "the client is there");
     assert!(looks <= 3, "{looks} looks");
     drop(client);
-    socket.left().await;
+    socket.disconnected().await;
 }
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -4,8 +4,8 @@
 use llm_router::frontend::service::{RequestService, ServiceContext};
 use llm_router::interface::{RequestId, RequestSpec};
 use llm_router::net::server::accept::{Listener, ShutdownPhase};
-use llm_router::net::server::budget::Budget;
 use llm_router::net::server::connections::Connections;
+use llm_router::net::server::memory_budget::MemoryBudget;
 use llm_router::runtime::exchange::{ForwardedRequest, Responder};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use std::cell::RefCell;
@@ -53,7 +53,7 @@
             classes: vec!["explain".into(), "send".into()],
             ready: Box::new(|| true),
             counters: Rc::default(),
-            budget: Budget::new(options.budget),
+            budget: MemoryBudget::new(options.budget),
             ids: RefCell::new(HashSet::new()),
         };
         let (stage, stages) = watch::channel(ShutdownPhase::Open);
