--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -10,7 +10,8 @@
 
 use crate::config::ToolSettings;
 use crate::frontend::context::ServiceContext;
-use crate::frontend::platform::{ResponseBody, refusal};
+use crate::frontend::platform::rejection;
+use crate::frontend::response_body::ResponseBody;
 use crate::interface::{RequestId, RequestSpec};
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::received_request::MAX_BODY_BYTES;
@@ -411,7 +412,7 @@
         let mut response = fixed(status, error_line(id, &error));
         if let Some(RetryAfter { retry_after }) = error.data {
             let micros = (retry_after * 1e6) as u64;
-            if let Some(value) = refusal(Some(micros)).headers_mut().remove("retry-after") {
+            if let Some(value) = rejection(Some(micros)).headers_mut().remove("retry-after") {
                 response.headers_mut().insert("retry-after", value);
             }
         }
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,21 +1,24 @@
-//! The platform's protocol: headers into what the module is told, answers into responses.
+//! The platform's HTTP protocol: the headers of requests are decoded, and the driver's responses encoded.
 
+use crate::frontend::response_body::{ResponseBody, plain_text};
 use crate::interface::{Micros, RequestId, RequestSpec};
 use crate::net::is_plain_id;
-use crate::runtime::exchange::{DisconnectGuard, FinalResponse, Frame, ResponseStream};
-use bytes::Bytes;
-use hyper::body::{Body, Frame as BodyFrame, SizeHint};
+use crate::runtime::exchange::{DisconnectGuard, FinalResponse};
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Response, StatusCode};
-use std::pin::Pin;
-use std::task::{Context, Poll};
+use std::fmt;
+use std::sync::Arc;
 
 /// The path that is served.
 pub const PATH: &str = "/v1/chat/completions";
-/// The longest deadline that is believed.
-const MOST_DEADLINE: Micros = 600_000_000;
-/// The largest count of tokens that is believed.
-const MOST_TOKENS: u64 = 100_000_000;
+/// The longest deadline that is accepted: ten minutes.
+const MAX_DEADLINE: Micros = 600_000_000;
+/// The largest count of tokens that is accepted.
+const MAX_TOKENS: u64 = 100_000_000;
+/// The longest session, prefix or tenant name that is taken into account, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// How many bytes of a body are taken for one token where the prompt's length is not stated.
+const BYTES_PER_TOKEN: u64 = 4;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), or that are written anew for each attempt.
 const NOT_FORWARDED: [HeaderName; 12] = [
@@ -33,145 +36,149 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// A body of an answer: fixed bytes or a model host's stream.
-pub enum ResponseBody {
-    /// Fixed bytes.
-    Fixed(Option<Bytes>),
-    /// A stream; dropped early, it tells that the client left.
-    Stream(ResponseStream, DisconnectGuard),
-    /// A stream that a front has written anew.
-    Lines(tokio::sync::mpsc::Receiver<Frame>),
-    /// A stream that has broken and says so at the next poll.
-    Breaking,
+/// A request header of the platform's protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlatformHeader {
+    /// The id under which workers know the request.
+    RequestId,
+    /// The request's class.
+    Class,
+    /// How long the client waits, from when it sent the request.
+    Deadline,
+    /// The session that the request belongs to.
+    Session,
+    /// The tenant that the request belongs to.
+    Tenant,
+    /// Lengths in tokens, and the shared prefix of the prompt.
+    Extras,
 }
 
-/// A stream that broke: the client's connection ends without the last chunk.
-#[derive(Debug, thiserror::Error)]
-#[error("the model host's stream broke")]
-pub struct Broken;
-
-impl Body for ResponseBody {
-    type Data = Bytes;
-    type Error = Broken;
-
-    fn poll_frame(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<BodyFrame<Bytes>, Broken>>> {
-        let body = self.get_mut();
-        let next = match body {
-            ResponseBody::Fixed(bytes) => return Poll::Ready(bytes.take().map(|b| Ok(BodyFrame::data(b)))),
-            ResponseBody::Stream(feed, presence) => match feed.poll_next(cx) {
-                Poll::Pending => return Poll::Pending,
-                Poll::Ready(frame) => {
-                    // Whole or broken at its other end, the stream is over: nobody needs to hear of it.
-                    if !matches!(frame, Some(Frame::Data(_))) {
-                        presence.finished();
-                    }
-                    frame
-                }
-            },
-            ResponseBody::Lines(lines) => match lines.poll_recv(cx) {
-                Poll::Pending => return Poll::Pending,
-                Poll::Ready(frame) => frame,
-            },
-            ResponseBody::Breaking => return Poll::Ready(Some(Err(Broken))),
-        };
-        match next {
-            Some(Frame::Data(data)) => Poll::Ready(Some(Ok(BodyFrame::data(data)))),
-            Some(Frame::End) => Poll::Ready(None),
-            None => {
-                // hyper drops what it has not written yet when a body fails, even the head: a stream that broke
-                // right after its first event looked like no answer at all. Pending once, it writes all out first.
-                *body = ResponseBody::Breaking;
-                cx.waker().wake_by_ref();
-                Poll::Pending
-            }
+impl PlatformHeader {
+    /// Its name on the wire.
+    fn name(self) -> &'static str {
+        match self {
+            PlatformHeader::RequestId => "X-Request-Id",
+            PlatformHeader::Class => "X-Class",
+            PlatformHeader::Deadline => "X-Deadline",
+            PlatformHeader::Session => "X-Key",
+            PlatformHeader::Tenant => "X-Tenant",
+            PlatformHeader::Extras => "X-Extras",
         }
     }
 
-    fn is_end_stream(&self) -> bool {
-        matches!(self, ResponseBody::Fixed(None))
+    /// Its value without surrounding white space, if the request has it.
+    fn value(self, headers: &HeaderMap) -> Result<Option<&str>, InvalidHeader> {
+        let Some(value) = headers.get(self.name()) else { return Ok(None) };
+        value.to_str().map(|text| Some(text.trim())).map_err(|_| InvalidHeader::Malformed(self))
     }
 
-    fn size_hint(&self) -> SizeHint {
-        match self {
-            ResponseBody::Fixed(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            _ => SizeHint::default(),
-        }
+    /// The same for a header that every request must have.
+    fn required_value(self, headers: &HeaderMap) -> Result<&str, InvalidHeader> {
+        self.value(headers)?.ok_or(InvalidHeader::Missing(self))
     }
 }
 
-/// A request's headers, decoded.
+impl fmt::Display for PlatformHeader {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.name())
+    }
+}
+
+/// What is wrong with the headers of a request. The texts are part of the protocol: clients are sent them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidHeader {
+    /// A required header is not there.
+    #[error("{0} is missing")]
+    Missing(PlatformHeader),
+    /// A header's value cannot be read, or is out of its range.
+    #[error("bad {0}")]
+    Malformed(PlatformHeader),
+}
+
+/// A request whose headers have been decoded.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// The id under which model hosts know the request.
+    /// The id under which workers know the request.
     pub id: String,
-    /// What the module is told; lengths that were not stated are guessed once the body is there.
-    pub ask: RequestSpec,
-    /// Whether the prompt's length was stated.
-    pub stated: bool,
+    /// The request as the policy sees it; its prompt's length may be unknown until [`ParsedRequest::complete_spec`].
+    pub spec: RequestSpec,
+    is_prompt_length_stated: bool,
+}
+
+impl ParsedRequest {
+    /// Fills in what the headers left out, from the length of the body in bytes.
+    pub fn complete_spec(&mut self, body_bytes: usize) {
+        if !self.is_prompt_length_stated {
+            self.spec.prompt_tokens = body_bytes as u64 / BYTES_PER_TOKEN;
+        }
+    }
 }
 
-/// Decodes the headers of a request whose time began at `now`.
+/// Decodes the headers of a request whose client began to wait at `sent_at`.
 ///
 /// # Errors
-/// What is wrong, for the client to read.
-pub fn decode(headers: &HeaderMap, now: Micros) -> Result<ParsedRequest, &'static str> {
-    let text = |name: &str, wrong: &'static str| match headers.get(name) {
-        None => Ok(None),
-        Some(value) => value.to_str().map(|v| Some(v.trim())).map_err(|_| wrong),
-    };
-    let id = text("x-request-id", "bad X-Request-Id")?.ok_or("X-Request-Id is missing")?;
-    if !is_plain_id(id) || headers.get_all("x-request-id").iter().count() > 1 {
-        return Err("bad X-Request-Id");
+/// A header is missing or malformed.
+pub fn decode(headers: &HeaderMap, sent_at: Micros) -> Result<ParsedRequest, InvalidHeader> {
+    let id = PlatformHeader::RequestId.required_value(headers)?;
+    if !is_plain_id(id) || headers.get_all(PlatformHeader::RequestId.name()).iter().count() > 1 {
+        return Err(InvalidHeader::Malformed(PlatformHeader::RequestId));
     }
-    let class = text("x-class", "bad X-Class")?.ok_or("X-Class is missing")?;
-    let deadline = text("x-deadline", "bad X-Deadline")?.ok_or("X-Deadline is missing")?;
-    let deadline = parse_deadline(deadline).ok_or("bad X-Deadline")?;
-    let short = |v: &&str| !v.is_empty() && v.len() <= 256;
-    let mut ask = RequestSpec {
+    let class = PlatformHeader::Class.required_value(headers)?;
+    let deadline = PlatformHeader::Deadline.required_value(headers)?;
+    let deadline = parse_deadline(deadline).ok_or(InvalidHeader::Malformed(PlatformHeader::Deadline))?;
+    let session = PlatformHeader::Session.value(headers)?.filter(|name| is_usable_name(name));
+    let tenant = PlatformHeader::Tenant.value(headers)?.filter(|name| is_usable_name(name));
+    let extras = Extras::decode(PlatformHeader::Extras.value(headers)?.unwrap_or_default())?;
+    let spec = RequestSpec {
         request: RequestId(0),
-        deadline: now + deadline,
-        session: text("x-key", "bad X-Key")?.filter(short).map(Into::into),
-        prefix: None,
-        prefix_tokens: 0,
-        prompt_tokens: 0,
-        max_tokens: 0,
+        deadline: sent_at + deadline,
+        session: session.map(Into::into),
+        prefix: extras.prefix,
+        prefix_tokens: extras.prompt_tokens.map_or(extras.prefix_tokens, |all| extras.prefix_tokens.min(all)),
+        prompt_tokens: extras.prompt_tokens.unwrap_or(0),
+        max_tokens: extras.max_tokens,
         expected_decode_time: None,
         class: class.to_owned(),
-        tenant: text("x-tenant", "bad X-Tenant")?.filter(short).map(Into::into),
+        tenant: tenant.map(Into::into),
     };
-    let mut stated = false;
-    for pair in text("x-extras", "bad X-Extras")?.unwrap_or("").split(',').filter(|p| !p.trim().is_empty()) {
-        let (name, value) = pair.trim().split_once('=').ok_or("bad X-Extras")?;
-        let tokens = || value.parse().ok().filter(|n| *n <= MOST_TOKENS).ok_or("bad X-Extras");
-        match name {
-            "prefix" if short(&value) => ask.prefix = Some(value.into()),
-            "prompt_len" => (ask.prompt_tokens, stated) = (tokens()?, true),
-            "prefix_len" => ask.prefix_tokens = tokens()?,
-            "max_out" => ask.max_tokens = tokens()?,
-            _ => {}
+    Ok(ParsedRequest { id: id.to_owned(), spec, is_prompt_length_stated: extras.prompt_tokens.is_some() })
+}
+
+/// The pairs of the `X-Extras` header.
+#[derive(Debug, Default)]
+struct Extras {
+    prefix: Option<Arc<str>>,
+    prefix_tokens: u64,
+    prompt_tokens: Option<u64>,
+    max_tokens: u64,
+}
+
+impl Extras {
+    /// Decodes `name=value` pairs separated by commas. Unknown names are ignored; of equal names the last one counts.
+    fn decode(text: &str) -> Result<Self, InvalidHeader> {
+        const MALFORMED: InvalidHeader = InvalidHeader::Malformed(PlatformHeader::Extras);
+        let mut extras = Extras::default();
+        for pair in text.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
+            let (name, value) = pair.split_once('=').ok_or(MALFORMED)?;
+            let tokens = || value.parse().ok().filter(|tokens| *tokens <= MAX_TOKENS).ok_or(MALFORMED);
+            match name {
+                "prefix" if is_usable_name(value) => extras.prefix = Some(value.into()),
+                "prompt_len" => extras.prompt_tokens = Some(tokens()?),
+                "prefix_len" => extras.prefix_tokens = tokens()?,
+                "max_out" => extras.max_tokens = tokens()?,
+                _ => {}
+            }
         }
+        Ok(extras)
     }
-    ask.prefix_tokens = if stated { ask.prefix_tokens.min(ask.prompt_tokens) } else { ask.prefix_tokens };
-    Ok(ParsedRequest { id: id.to_owned(), ask, stated })
 }
 
-/// The headers that go on to a worker: all but those that concern the client's connection, by name or because
-/// `Connection` lists them. Workers may need any other, an idempotency key for one.
-pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let listed: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
-    for name in NOT_FORWARDED.iter().chain(&listed) {
-        headers.remove(name);
-    }
-    headers
+/// Whether a name of a session, prefix or tenant is taken into account.
+fn is_usable_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
+/// Decodes a deadline: digits, and `m` for milliseconds or `u` for microseconds.
 fn parse_deadline(text: &str) -> Option<Micros> {
     let (number, unit) = match text.as_bytes().last()? {
         b'm' => (&text[..text.len() - 1], 1_000),
@@ -181,38 +188,44 @@
     if !number.bytes().all(|b| b.is_ascii_digit()) {
         return None;
     }
-    number.parse::<Micros>().ok()?.checked_mul(unit).filter(|d| (1..=MOST_DEADLINE).contains(d))
+    number.parse::<Micros>().ok()?.checked_mul(unit).filter(|d| (1..=MAX_DEADLINE).contains(d))
+}
+
+/// The headers that are forwarded to a worker: all but those that concern the client's connection, by name or because
+/// `Connection` lists them. Workers may need any other, an idempotency key for one.
+pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
+    let listed: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    for name in NOT_FORWARDED.iter().chain(&listed) {
+        headers.remove(name);
+    }
+    headers
 }
 
-/// Encodes an answer.
-pub fn encode(answer: FinalResponse, presence: DisconnectGuard) -> Response<ResponseBody> {
-    match answer {
-        FinalResponse::Rejected { retry_after } => refusal(retry_after),
-        FinalResponse::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-        FinalResponse::Stream(feed) => {
-            let content_type = feed.content_type.clone();
-            let mut response = Response::new(ResponseBody::Stream(feed, presence));
-            if let Some(value) = content_type.and_then(|t| t.parse().ok()) {
-                response.headers_mut().insert("content-type", value);
+/// Encodes the driver's response. The guard lives as long as the client is being answered.
+pub fn encode(response: FinalResponse, disconnect_guard: DisconnectGuard) -> Response<ResponseBody> {
+    match response {
+        FinalResponse::Rejected { retry_after } => rejection(retry_after),
+        FinalResponse::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
+        FinalResponse::Stream(stream) => {
+            let content_type = stream.content_type.clone();
+            let mut response = Response::new(ResponseBody::Stream(stream, disconnect_guard));
+            if let Some(value) = content_type.and_then(|text| text.parse().ok()) {
+                response.headers_mut().insert(header::CONTENT_TYPE, value);
             }
             response
         }
     }
 }
 
-/// A refusal: trying again is harmless.
-pub fn refusal(retry_after: Option<Micros>) -> Response<ResponseBody> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-    if let Some(value) = retry_after.and_then(|t| format!("{:.3}", t as f64 / 1e6).parse().ok()) {
-        response.headers_mut().insert("retry-after", value);
+/// A rejection, which promises the client that a retry does no harm.
+pub fn rejection(retry_after: Option<Micros>) -> Response<ResponseBody> {
+    let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+    if let Some(value) = retry_after.and_then(|wait| format!("{:.3}", wait as f64 / 1e6).parse().ok()) {
+        response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
-
-/// A short answer in plain text.
-pub fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::Fixed(Some(Bytes::from_static(text.as_bytes()))));
-    *response.status_mut() = status;
-    response.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static("text/plain"));
-    response
-}
--- a/src/main.rs
+++ b/src/main.rs
@@ -14,7 +14,7 @@
 use llm_router::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
 use llm_router::runtime::counters::Counters;
 use llm_router::runtime::{Clock, Driver, DriverHandle};
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -206,7 +206,7 @@
         ready: Box::new(ready),
         counters: counters.clone(),
         budget: MemoryBudget::new(config.limits.memory_mb * 1024 * 1024 / 3),
-        ids: RefCell::default(),
+        active_ids: Rc::default(),
     });
     let seed = config.seed;
     let tools = config.tools.clone().map(|t| JsonRpcService::new(shared.clone(), t, connect_timeout, seed));
@@ -254,7 +254,7 @@
         let _ = accepting.await;
         log::info!("stopping: idle connections are closed, {} are open", open.count());
         // An id is in hand for as long as an attempt or a release of its request is: what is held is let go first.
-        while open.count() > 0 || !shared.ids.borrow().is_empty() {
+        while open.count() > 0 || !shared.active_ids.is_empty() {
             tokio::time::sleep(END_PAUSE).await;
         }
     };
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -8,8 +8,6 @@
 use llm_router::net::server::memory_budget::MemoryBudget;
 use llm_router::runtime::exchange::{ForwardedRequest, Responder};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
-use std::cell::RefCell;
-use std::collections::HashSet;
 use std::io::{ErrorKind, Read};
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
@@ -54,7 +52,7 @@
             ready: Box::new(|| true),
             counters: Rc::default(),
             budget: MemoryBudget::new(options.budget),
-            ids: RefCell::new(HashSet::new()),
+            active_ids: Rc::default(),
         };
         let (stage, stages) = watch::channel(ShutdownPhase::Open);
         let open = Rc::new(Connections::default());
