--- a/src/frontend/context.rs
+++ b/src/frontend/context.rs
@@ -18,7 +18,7 @@
     /// Counters of the whole router.
     pub counters: Rc<Counters>,
     /// The memory that request bodies may take at once.
-    pub budget: Rc<MemoryBudget>,
+    pub body_memory: Rc<MemoryBudget>,
     /// The ids of active requests.
     pub active_ids: Rc<ActiveRequestIds>,
 }
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -14,7 +14,6 @@
 use crate::net::server::memory_budget::MemoryReservation;
 use crate::net::server::received_request::ReceivedRequest;
 use crate::net::server::shutdown_phase::ShutdownPhase;
-use crate::runtime::counters::Counters;
 use crate::runtime::exchange::ForwardedRequest;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -33,9 +32,9 @@
 #[derive(Clone)]
 pub struct RequestService {
     /// What all connections share.
-    pub shared: Rc<ServiceContext>,
+    pub context: Rc<ServiceContext>,
     /// The JSON-RPC frontend, if one is configured.
-    pub tools: Option<Rc<JsonRpcService>>,
+    pub jsonrpc: Option<Rc<JsonRpcService>>,
 }
 
 /// What a request keeps for as long as an attempt or a release of it is outstanding, after its response too. Otherwise
@@ -54,7 +53,7 @@
         };
         result.unwrap_or_else(|error| {
             log::debug!("connection {}: request rejected: {error}", client.number());
-            error.into_response(&self.shared.counters)
+            error.into_response(&self.context.counters)
         })
     }
 
@@ -68,11 +67,11 @@
         if path == HEALTH_PATH && request.method() == Method::GET {
             return Ok(self.health());
         }
-        if let Some(jsonrpc) = self.tools.clone().filter(|jsonrpc| jsonrpc.path == path) {
+        if let Some(jsonrpc) = self.jsonrpc.clone().filter(|jsonrpc| jsonrpc.path == path) {
             if request.method() != Method::POST {
                 return Err(RequestError::MethodNotAllowed);
             }
-            let body = read_body(request.into_body(), client, &self.shared.budget).await?;
+            let body = read_body(request.into_body(), client, &self.context.body_memory).await?;
             let RequestBody { bytes, reservation: _reservation } = body;
             return Ok(jsonrpc.respond(bytes, client).await);
         }
@@ -84,7 +83,7 @@
     }
 
     fn health(&self) -> Response<ResponseBody> {
-        if (self.shared.ready)() {
+        if (self.context.ready)() {
             plain_text(StatusCode::OK, "ready\n")
         } else {
             plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
@@ -98,16 +97,16 @@
         client: &Rc<ClientSocket>,
         shutdown: &watch::Receiver<ShutdownPhase>,
     ) -> Result<Response<ResponseBody>, RequestError> {
-        let driver = &self.shared.driver;
+        let driver = &self.context.driver;
         let (head, body) = request.into_parts();
         let mut parsed = platform::decode(&head.headers, driver.clock.ago(client.pipeline_wait()))?;
-        if !self.shared.classes.contains(&parsed.spec.class) {
+        if !self.context.classes.contains(&parsed.spec.class) {
             return Err(RequestError::UnknownClass);
         }
-        let body = read_body(body, client, &self.shared.budget).await?;
+        let body = read_body(body, client, &self.context.body_memory).await?;
         parsed.complete_spec(body.bytes.len());
         check_can_be_submitted(&parsed.id, client, shutdown)?;
-        let active_id = self.shared.active_ids.claim(&parsed.id);
+        let active_id = self.context.active_ids.claim(&parsed.id);
         let active_id = active_id.ok_or_else(|| RequestError::DuplicateId { id: parsed.id.clone() })?;
         log::debug!("request {}: received on connection {}", parsed.id, client.number());
         let ParsedRequest { id, spec, .. } = parsed;
@@ -174,8 +173,4 @@
     fn overload_response(&self) -> Response<ResponseBody> {
         platform::rejection(Some(RETRY_AFTER))
     }
-
-    fn counters(&self) -> &Rc<Counters> {
-        &self.shared.counters
-    }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -205,7 +205,7 @@
         classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
         ready: Box::new(ready),
         counters: counters.clone(),
-        budget: MemoryBudget::new(config.limits.memory_mb * 1024 * 1024 / 3),
+        body_memory: MemoryBudget::new(config.limits.memory_mb * 1024 * 1024 / 3),
         active_ids: Rc::default(),
     });
     let seed = config.seed;
@@ -215,11 +215,12 @@
     let open = Rc::new(Connections::default());
     let bound = to_clients - RESERVED_CONNECTIONS;
     let accepting = Listener {
-        service: RequestService { shared: shared.clone(), tools },
-        bound,
-        waiting: bound,
-        stage: stages,
-        open: open.clone(),
+        handler: RequestService { context: shared.clone(), jsonrpc: tools },
+        max_connections: bound,
+        max_waiting_requests: bound,
+        shutdown: stages,
+        connections: open.clone(),
+        counters: counters.clone(),
     };
     let accepting = tokio::task::spawn_local(accepting.accept(listener));
     log::info!(
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -56,15 +56,17 @@
 /// Accepts client connections and serves each in a task of its own, until a graceful shutdown closes the listener.
 pub struct Listener<H> {
     /// Answers requests.
-    pub service: H,
+    pub handler: H,
     /// The most client connections; the requests of [`RESERVED_CONNECTIONS`] more are rejected.
-    pub bound: usize,
-    /// The most requests that wait for the head of their response.
-    pub waiting: usize,
+    pub max_connections: usize,
+    /// The most requests that wait for the head of their response; more are rejected.
+    pub max_waiting_requests: usize,
     /// How far a graceful shutdown has progressed.
-    pub stage: watch::Receiver<ShutdownPhase>,
+    pub shutdown: watch::Receiver<ShutdownPhase>,
     /// The open connections.
-    pub open: Rc<Connections>,
+    pub connections: Rc<Connections>,
+    /// Where connections, rejected requests and failed accepts are counted.
+    pub counters: Rc<Counters>,
 }
 
 impl<H: RequestHandler> Listener<H> {
@@ -75,13 +77,15 @@
     pub async fn accept(self, listener: TcpListener) {
         // Over its concurrency limit the handler is not ready; load shedding turns that into an error, which the
         // connection's handler answers with a rejection.
-        let limited =
-            ServiceBuilder::new().load_shed().concurrency_limit(self.waiting).service(self.service.clone());
-        let mut stage = self.stage.clone();
+        let limited = ServiceBuilder::new()
+            .load_shed()
+            .concurrency_limit(self.max_waiting_requests)
+            .service(self.handler.clone());
+        let mut shutdown = self.shutdown.clone();
         tokio::select! {
             // The shutdown first: connections that arrive faster than they are accepted must not delay it.
             biased;
-            _ = stage.wait_for(|phase| *phase == ShutdownPhase::Closing) => {}
+            _ = shutdown.wait_for(|phase| *phase == ShutdownPhase::Closing) => {}
             () = self.accept_all(&listener, &limited) => {}
         }
         self.drain_backlog(listener, &limited).await;
@@ -104,13 +108,13 @@
 
     /// Makes the next accept possible, as far as this process can.
     async fn handle_accept_error(&self, error: &io::Error, failures: &mut ConsecutiveFailures) {
-        self.counters().accept_errors.increment();
+        self.counters.accept_errors.increment();
         let failure = accept_failure(error);
         if failures.is_empty() {
             log::warn!("accept: {error} ({failure:?})");
         }
         if failure == AcceptFailure::OwnDescriptors {
-            self.open.evict_at_once(self.counters());
+            self.connections.evict_at_once(&self.counters);
         }
         failures.record_and_pause(failure).await;
     }
@@ -118,10 +122,10 @@
     /// Evicts connections until they are within the limit and its reserve. Those over the limit are rejected as soon as
     /// they send a request, so one of them can always be evicted.
     async fn enforce_hard_limit(&self) {
-        while self.open.count() > self.bound + RESERVED_CONNECTIONS {
-            self.open.evict_at_once(self.counters());
+        while self.connections.count() > self.max_connections + RESERVED_CONNECTIONS {
+            self.connections.evict_at_once(&self.counters);
             // An evicted connection whose request arrives at this moment is answered first: then another one is evicted.
-            let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.open.slot_released()).await;
+            let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.connections.slot_released()).await;
         }
     }
 
@@ -155,26 +159,26 @@
 
     /// Registers a connection and serves it in a task of its own.
     fn spawn_connection(&self, stream: TcpStream, limited: &LimitedHandler<H>) {
-        let counters = self.counters().clone();
-        counters.client_connections.increment();
-        let client = ClientSocket::new(self.open.next_number(), Rc::new(stream));
-        let slot = self.open.register(client.clone());
+        self.counters.client_connections.increment();
+        let client = ClientSocket::new(self.connections.next_number(), Rc::new(stream));
+        let slot = self.connections.register(client.clone());
         let is_over_limit = self.is_over_limit();
-        log::debug!("connection {}: accepted, {} are open", client.number(), self.open.count());
+        log::debug!("connection {}: accepted, {} are open", client.number(), self.connections.count());
         if is_over_limit {
-            counters.connections_rejected.increment();
+            self.counters.connections_rejected.increment();
         }
         let handler = ConnectionHandler {
             limited: limited.clone(),
-            handler: self.service.clone(),
-            client: client.clone(),
+            handler: self.handler.clone(),
+            client,
+            counters: self.counters.clone(),
             is_over_limit,
-            shutdown: self.stage.clone(),
+            shutdown: self.shutdown.clone(),
         };
-        let shutdown = self.stage.clone();
         tokio::task::spawn_local(async move {
+            // Kept until the connection has ended, also if serving it panics.
             let _slot = slot;
-            serve(handler, shutdown, &client, &counters).await;
+            serve(handler).await;
         });
     }
 
@@ -183,15 +187,11 @@
     /// From three quarters of the limit on each further connection evicts a settled one, ahead of need: clients that
     /// keep their connections open for good would otherwise leave nothing for a burst.
     fn is_over_limit(&self) -> bool {
-        if self.open.count() <= self.bound * 3 / 4 {
+        if self.connections.count() <= self.max_connections * 3 / 4 {
             return false;
         }
-        let eviction = self.open.evict_early(self.counters());
-        eviction == EvictionResult::NoCandidate && self.open.count() > self.bound
-    }
-
-    fn counters(&self) -> &Rc<Counters> {
-        self.service.counters()
+        let eviction = self.connections.evict_early(&self.counters);
+        eviction == EvictionResult::NoCandidate && self.connections.count() > self.max_connections
     }
 }
 
--- a/src/net/server/accept/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -15,8 +15,8 @@
 use tower::Service;
 
 /// A handler whose responses are empty.
-#[derive(Clone, Default)]
-struct EmptyResponses(Rc<Counters>);
+#[derive(Clone)]
+struct EmptyResponses;
 
 impl HandlerBody for Empty<Bytes> {
     fn is_stream(&self) -> bool {
@@ -30,10 +30,6 @@
     fn overload_response(&self) -> Response<Self::Body> {
         Response::default()
     }
-
-    fn counters(&self) -> &Rc<Counters> {
-        &self.0
-    }
 }
 
 impl Service<ReceivedRequest> for EmptyResponses {
@@ -51,8 +47,15 @@
 }
 
 fn listener() -> Listener<EmptyResponses> {
-    let (_stage, stage) = watch::channel(ShutdownPhase::Closing);
-    Listener { service: EmptyResponses::default(), bound: 64, waiting: 64, stage, open: Rc::default() }
+    let (_, shutdown) = watch::channel(ShutdownPhase::Closing);
+    Listener {
+        handler: EmptyResponses,
+        max_connections: 64,
+        max_waiting_requests: 64,
+        shutdown,
+        connections: Rc::default(),
+        counters: Rc::default(),
+    }
 }
 
 fn error(errno: Errno) -> io::Error {
@@ -85,12 +88,12 @@
     let scenario = async {
         let listener = listener();
         let limited =
-            ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.service.clone());
+            ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.handler.clone());
         let mut results = results_after(failures, 10).await;
         let accept = || results.pop_front().unwrap_or_else(|| Err(io::ErrorKind::WouldBlock.into()));
         let started = tokio::time::Instant::now();
         listener.drain(accept, &limited).await;
-        assert_eq!(listener.counters().client_connections.get(), 10);
+        assert_eq!(listener.counters.client_connections.get(), 10);
         // The runtime's timers have a resolution of a millisecond.
         assert!(started.elapsed().abs_diff(expected) <= Duration::from_millis(10), "{:?}", started.elapsed());
     };
@@ -103,13 +106,13 @@
     let scenario = async {
         let listener = listener();
         let limited =
-            ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.service.clone());
+            ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.handler.clone());
         let failures =
             [Errno::CONNABORTED, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::MFILE, Errno::PROTO];
         let mut results = results_after(&failures, 6).await;
         let accept = || results.pop_front().unwrap_or_else(|| Err(io::ErrorKind::WouldBlock.into()));
         listener.drain(accept, &limited).await;
-        assert_eq!(listener.counters().client_connections.get(), 6);
+        assert_eq!(listener.counters.client_connections.get(), 6);
     };
     LocalSet::new().run_until(scenario).await;
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -11,13 +11,11 @@
 use crate::net::server::lingering_close::close_lingering;
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::rules::close::{CloseReason, Phase, close_due, is_at_rest, may_close};
-use crate::runtime::counters::Counters;
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::watch;
 use tokio::time::Instant;
 
 /// The most bytes that hyper buffers of one connection; no longer head is accepted.
@@ -30,14 +28,10 @@
 
 /// Serves a connection until it has ended. Dropped early, it closes the socket at once, which resets a client
 /// whose bytes have not all been read.
-pub async fn serve<H: RequestHandler>(
-    handler: ConnectionHandler<H>,
-    shutdown: watch::Receiver<ShutdownPhase>,
-    client: &Rc<ClientSocket>,
-    counters: &Counters,
-) {
+pub async fn serve<H: RequestHandler>(handler: ConnectionHandler<H>) {
+    let (client, counters) = (handler.client.clone(), handler.counters.clone());
     let _ = client.stream().set_nodelay(true);
-    let reason = serve_requests(handler, shutdown, client).await;
+    let reason = serve_requests(handler, &client).await;
     log::debug!("connection {}: ends: {reason}", client.number());
     match reason {
         // hyper has answered what was not HTTP with a 4xx of its own.
@@ -50,15 +44,15 @@
         CloseReason::WriteBlocked | CloseReason::ClientLeft => return,
         CloseReason::ByHttp | CloseReason::Idle | CloseReason::Evicted | CloseReason::Shutdown => {}
     }
-    close_lingering(client).await;
+    close_lingering(&client).await;
 }
 
 /// Lets hyper read requests and answer them until the connection has to end; returns why.
 async fn serve_requests<H: RequestHandler>(
     handler: ConnectionHandler<H>,
-    mut shutdown: watch::Receiver<ShutdownPhase>,
     client: &Rc<ClientSocket>,
 ) -> CloseReason {
+    let mut shutdown = handler.shutdown.clone();
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -6,6 +6,7 @@
 use crate::net::server::received_request::ReceivedRequest;
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::server::tracked_body::TrackedBody;
+use crate::runtime::counters::Counters;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Request, Response};
@@ -29,6 +30,8 @@
     pub handler: H,
     /// The connection.
     pub client: Rc<ClientSocket>,
+    /// Where requests over a limit are counted.
+    pub counters: Rc<Counters>,
     /// Whether the connection was accepted over the limit on connections: its requests are rejected.
     pub is_over_limit: bool,
     /// How far a graceful shutdown has progressed.
@@ -58,7 +61,7 @@
         // The handler itself does not fail: an error is the limit's.
         let Ok(response) = self.limited.clone().oneshot(received).await else {
             log::debug!("connection {}: request rejected: too many requests wait", client.number());
-            self.handler.counters().requests_shed.increment();
+            self.counters.requests_shed.increment();
             return self.handler.overload_response();
         };
         response
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -4,12 +4,10 @@
 //! closes. What a request means is the concern of the [`RequestHandler`] that the listener is built with.
 
 use crate::net::server::received_request::ReceivedRequest;
-use crate::runtime::counters::Counters;
 use bytes::Bytes;
 use hyper::Response;
 use hyper::body::Body;
 use std::convert::Infallible;
-use std::rc::Rc;
 use tower::{BoxError, Service};
 
 /// Answers the requests of all connections.
@@ -30,9 +28,6 @@
 
     /// The response to a request that is not handled because the server is over one of its limits.
     fn overload_response(&self) -> Response<Self::Body>;
-
-    /// The counters in which the server records connections and rejected requests.
-    fn counters(&self) -> &Rc<Counters>;
 }
 
 /// A response body that the server can send.
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -203,8 +203,8 @@
             clients.push(client);
         }
         // They wait in the queue: nothing has been accepted yet.
-        server.stage.send(ShutdownPhase::Closing).unwrap();
-        server.accepting.accept(server.listener).await;
+        server.shutdown.send(ShutdownPhase::Closing).unwrap();
+        server.listener.accept(server.socket).await;
         for client in &mut clients {
             let answer = whole_answer(client).await;
             assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("connection: close"), "{answer}");
@@ -217,16 +217,16 @@
 #[tokio::test]
 async fn a_request_that_has_arrived_when_a_resting_connection_is_closed_is_answered() {
     let story = async {
-        let Server { listener, accepting, stage, .. } = Server::start().await;
-        let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        tokio::task::spawn_local(accepting.accept(listener));
+        let Server { socket, listener, shutdown, .. } = Server::start().await;
+        let mut client = TcpStream::connect(socket.local_addr().unwrap()).await.unwrap();
+        tokio::task::spawn_local(listener.accept(socket));
         client.write_all(HEALTH).await.unwrap();
         let mut first = [0; 256];
         assert!(client.read(&mut first).await.unwrap() > 0);
         // In one step: the server learns of the stage before it can learn of the bytes.
         let mut blocking = client.into_std().unwrap();
         blocking.set_nonblocking(false).unwrap();
-        stage.send(ShutdownPhase::Closing).unwrap();
+        shutdown.send(ShutdownPhase::Closing).unwrap();
         blocking.write_all(HEALTH).unwrap();
         blocking.set_nonblocking(true).unwrap();
         let mut client = TcpStream::from_std(blocking).unwrap();
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! The server side alone, in the process of the test: a listener with a core that the test plays itself.
+//! The server side alone, in the process of the test: a listener whose driver is played by the test.
 #![allow(dead_code)]
 
 use llm_router::frontend::service::{RequestService, ServiceContext};
@@ -6,6 +6,7 @@
 use llm_router::net::server::accept::{Listener, ShutdownPhase};
 use llm_router::net::server::connections::Connections;
 use llm_router::net::server::memory_budget::MemoryBudget;
+use llm_router::runtime::counters::Counters;
 use llm_router::runtime::exchange::{ForwardedRequest, Responder};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use std::io::{ErrorKind, Read};
@@ -13,29 +14,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// A request that asks whether the router is ready.
+/// A health check.
 pub const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// What a server is built with.
+/// The limits that a server is built with.
 pub struct Options {
-    /// Most client connections.
-    pub bound: usize,
-    /// Bytes of bodies that may be held.
-    pub budget: usize,
+    /// The most client connections.
+    pub max_connections: usize,
+    /// The memory that request bodies may take, in bytes.
+    pub body_memory: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Options { bound: 64, budget: 1 << 20 }
+        Options { max_connections: 64, body_memory: 1 << 20 }
     }
 }
 
-/// The server side, on a socket of its own.
+/// The server side before it accepts, on a socket of its own.
 pub struct Server {
-    pub listener: TcpListener,
-    pub accepting: Listener<RequestService>,
-    pub stage: watch::Sender<ShutdownPhase>,
-    pub open: Rc<Connections>,
+    pub socket: TcpListener,
+    pub listener: Listener<RequestService>,
+    pub shutdown: watch::Sender<ShutdownPhase>,
+    pub connections: Rc<Connections>,
     pub driver: mpsc::UnboundedReceiver<DriverInput>,
 }
 
@@ -46,52 +47,55 @@
 
     pub async fn start_with(options: Options) -> Server {
         let (handle, driver) = DriverHandle::channel(Clock::start());
-        let shared = ServiceContext {
+        let counters = Rc::<Counters>::default();
+        let context = ServiceContext {
             driver: handle,
             classes: vec!["explain".into(), "send".into()],
             ready: Box::new(|| true),
-            counters: Rc::default(),
-            budget: MemoryBudget::new(options.budget),
+            counters: counters.clone(),
+            body_memory: MemoryBudget::new(options.body_memory),
             active_ids: Rc::default(),
         };
-        let (stage, stages) = watch::channel(ShutdownPhase::Open);
-        let open = Rc::new(Connections::default());
-        let accepting = Listener {
-            service: RequestService { shared: Rc::new(shared), tools: None },
-            bound: options.bound,
-            waiting: 64,
-            stage: stages,
-            open: open.clone(),
+        let (shutdown, phases) = watch::channel(ShutdownPhase::Open);
+        let connections = Rc::new(Connections::default());
+        let listener = Listener {
+            handler: RequestService { context: Rc::new(context), jsonrpc: None },
+            max_connections: options.max_connections,
+            max_waiting_requests: 64,
+            shutdown: phases,
+            connections: connections.clone(),
+            counters,
         };
-        Server { listener: TcpListener::bind("127.0.0.1:0").await.unwrap(), accepting, stage, open, driver }
+        let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        Server { socket, listener, shutdown, connections, driver }
     }
 
     pub async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.listener.local_addr().unwrap()).await.unwrap()
+        TcpStream::connect(self.socket.local_addr().unwrap()).await.unwrap()
     }
 
-    /// Serves from here on.
+    /// Accepts connections from now on.
     pub fn run(self) -> RunningServer {
-        let Server { listener, accepting, stage, open, driver } = self;
-        let address = listener.local_addr().unwrap();
-        tokio::task::spawn_local(accepting.accept(listener));
-        RunningServer { address, stage, open, driver }
+        let Server { socket, listener, shutdown, connections, driver } = self;
+        let address = socket.local_addr().unwrap();
+        tokio::task::spawn_local(listener.accept(socket));
+        RunningServer { address, shutdown, connections, driver }
     }
 }
 
-/// A server that accepts.
+/// A server that accepts connections.
 pub struct RunningServer {
     pub address: std::net::SocketAddr,
-    pub stage: watch::Sender<ShutdownPhase>,
-    pub open: Rc<Connections>,
+    pub shutdown: watch::Sender<ShutdownPhase>,
+    pub connections: Rc<Connections>,
     pub driver: mpsc::UnboundedReceiver<DriverInput>,
 }
 
-/// A request as the core is handed it.
-pub struct Taken {
-    pub ask: RequestSpec,
-    pub call: Rc<ForwardedRequest>,
-    pub answer: Responder,
+/// A request as it is submitted to the driver.
+pub struct SubmittedRequest {
+    pub spec: RequestSpec,
+    pub forwarded: Rc<ForwardedRequest>,
+    pub responder: Responder,
 }
 
 impl RunningServer {
@@ -99,19 +103,19 @@
         TcpStream::connect(self.address).await.unwrap()
     }
 
-    /// The next request that the core is handed.
-    pub async fn taken(&mut self) -> Taken {
+    /// The next request that is submitted to the driver.
+    pub async fn next_request(&mut self) -> SubmittedRequest {
         loop {
-            if let DriverInput::RequestReceived { spec: ask, forwarded: call, responder: answer } =
+            if let DriverInput::RequestReceived { spec, forwarded, responder } =
                 self.driver.recv().await.unwrap()
             {
-                return Taken { ask, call, answer };
+                return SubmittedRequest { spec, forwarded, responder };
             }
         }
     }
 
-    /// The next request of which the core is told that its client has left.
-    pub async fn left(&mut self) -> RequestId {
+    /// The next request whose client is reported to the driver as disconnected.
+    pub async fn next_disconnected(&mut self) -> RequestId {
         loop {
             if let DriverInput::ClientDisconnected(request) = self.driver.recv().await.unwrap() {
                 return request;
@@ -121,34 +125,34 @@
 
     /// Waits until every connection has ended.
     pub async fn all_closed(&self) {
-        while self.open.count() > 0 {
+        while self.connections.count() > 0 {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     }
 }
 
-/// Whether the connection was reset: its last bytes were never read. Behind an end of the stream the system calls that
-/// a broken pipe.
+/// Whether the connection was reset: its last bytes were never read. After an end of the stream the system reports a
+/// reset as a broken pipe.
 pub fn was_reset(client: &TcpStream) -> bool {
     let error = client.take_error().unwrap().map(|e| e.kind());
     matches!(error, Some(ErrorKind::ConnectionReset | ErrorKind::BrokenPipe))
 }
 
-/// The same socket for blocking calls, in which the runtime does not turn.
+/// The same socket for blocking calls, during which the runtime does not run.
 pub fn blocking(client: TcpStream) -> std::net::TcpStream {
     let client = client.into_std().unwrap();
     client.set_nonblocking(false).unwrap();
     client
 }
 
-/// All that has come up to the end of the connection.
-pub fn rest(client: &mut std::net::TcpStream) -> String {
+/// Everything that the client receives up to the end of the connection.
+pub fn read_to_close(client: &mut std::net::TcpStream) -> String {
     let mut text = Vec::new();
     let _ = client.read_to_end(&mut text);
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Runs a test on one thread.
+/// Runs a test on one thread, where it may spawn local tasks.
 pub async fn on_one_thread(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
