--- a/src/net/server/read_gate.rs
+++ b/src/net/server/read_gate.rs
@@ -10,20 +10,20 @@
 pub struct ReadGate {
     is_open: Cell<bool>,
     /// The task that wants to read while the gate is closed.
-    waiting_reader: RefCell<Option<Waker>>,
+    waiting_task: RefCell<Option<Waker>>,
 }
 
 impl ReadGate {
     /// An open gate.
     pub fn new() -> Self {
-        ReadGate { is_open: Cell::new(true), waiting_reader: RefCell::default() }
+        ReadGate { is_open: Cell::new(true), waiting_task: RefCell::default() }
     }
 
-    /// Lets reads through, and wakes the reader that waits for it.
+    /// Lets reads through, and wakes the task that waits for it.
     pub fn open(&self) {
         self.is_open.set(true);
-        if let Some(reader) = self.waiting_reader.take() {
-            reader.wake();
+        if let Some(task) = self.waiting_task.take() {
+            task.wake();
         }
     }
 
@@ -37,7 +37,7 @@
         if self.is_open.get() {
             return Poll::Ready(());
         }
-        self.waiting_reader.replace(Some(cx.waker().clone()));
+        self.waiting_task.replace(Some(cx.waker().clone()));
         Poll::Pending
     }
 }
