--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -229,3 +229,6 @@
     }
     response
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/frontend/platform/tests.rs
@@ -0,0 +1,54 @@
+//! Tests of what is private to `platform`.
+
+use super::*;
+use hyper::header::HeaderValue;
+use rstest::rstest;
+
+/// A complete set of headers, in which the named one has this value instead, or is left out.
+fn headers_with(name: &'static str, value: Option<&'static str>) -> HeaderMap {
+    let complete = [("x-request-id", "id-1"), ("x-class", "send"), ("x-deadline", "8000m")];
+    let mut headers: HeaderMap = (complete.into_iter())
+        .map(|(name, value)| (HeaderName::from_static(name), HeaderValue::from_static(value)))
+        .collect();
+    headers.remove(name);
+    if let Some(value) = value {
+        headers.insert(name, HeaderValue::from_bytes(value.as_bytes()).unwrap());
+    }
+    headers
+}
+
+/// Guards against other texts: clients are sent them.
+#[rstest]
+#[case::no_id("x-request-id", None, "X-Request-Id is missing")]
+#[case::id_that_is_no_path_segment("x-request-id", Some("a/b"), "bad X-Request-Id")]
+#[case::no_class("x-class", None, "X-Class is missing")]
+#[case::class_that_is_no_text("x-class", Some("é"), "bad X-Class")]
+#[case::no_deadline("x-deadline", None, "X-Deadline is missing")]
+#[case::deadline_without_unit("x-deadline", Some("100"), "bad X-Deadline")]
+#[case::deadline_of_zero("x-deadline", Some("0m"), "bad X-Deadline")]
+#[case::deadline_too_long("x-deadline", Some("600001m"), "bad X-Deadline")]
+#[case::session_that_is_no_text("x-key", Some("é"), "bad X-Key")]
+#[case::tenant_that_is_no_text("x-tenant", Some("é"), "bad X-Tenant")]
+#[case::extras_without_value("x-extras", Some("prompt_len"), "bad X-Extras")]
+#[case::extras_out_of_range("x-extras", Some("max_out=100000001"), "bad X-Extras")]
+fn an_invalid_header_is_named(
+    #[case] name: &'static str,
+    #[case] value: Option<&'static str>,
+    #[case] expected: &str,
+) {
+    assert_eq!(decode(&headers_with(name, value), 0).unwrap_err().to_string(), expected);
+}
+
+#[test]
+fn a_prompt_length_that_is_not_stated_is_estimated_from_the_body() {
+    let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70")), 0).unwrap();
+    parsed.complete_spec(100);
+    assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (25, 70));
+}
+
+#[test]
+fn a_stated_prompt_length_bounds_the_prefix_and_is_kept() {
+    let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70, prompt_len=60")), 0).unwrap();
+    parsed.complete_spec(100);
+    assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (60, 60));
+}
--- a/src/net/server/memory_budget.rs
+++ b/src/net/server/memory_budget.rs
@@ -49,3 +49,6 @@
         self.budget.available.set(self.budget.available.get() + self.bytes);
     }
 }
+
+#[cfg(test)]
+mod tests;
