--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -35,9 +35,9 @@
 /// The order in which connections are evicted: by variant, then the longest in its phase first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Its last response has been sent, and only its client has yet to close.
-    LastResponseSent(Instant),
-    /// Between two requests, or closing where that is not preferred.
+    /// Its sending side is shut down, and only its client has yet to close.
+    ClosingAlready(Instant),
+    /// Between two requests. An early eviction ranks closing connections here too: they end by themselves.
     Idle(Instant),
     /// Its request is arriving.
     RequestArriving(Instant),
@@ -80,8 +80,8 @@
         self.evict(Eviction::Soon, may_evict, counters)
     }
 
-    /// Evicts any connection that is not being answered, since there is no slot left; first those that have had their
-    /// last response.
+    /// Evicts any connection that is not being answered, since there is no slot left; first those that are closing
+    /// already.
     pub fn evict_at_once(&self, counters: &Counters) -> EvictionResult {
         self.evict(Eviction::AtOnce, |_| true, counters)
     }
@@ -95,7 +95,7 @@
         let rank = |client: &ClientSocket| match client.phase() {
             phase if !may_evict(phase) => None,
             Phase::Closing(since) if eviction == Eviction::AtOnce => {
-                Some(EvictionRank::LastResponseSent(since))
+                Some(EvictionRank::ClosingAlready(since))
             }
             Phase::Idle(since) | Phase::Closing(since) => Some(EvictionRank::Idle(since)),
             Phase::Arriving(since) => Some(EvictionRank::RequestArriving(since)),
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -70,10 +70,10 @@
         let mut client = server.connect().await;
         let both = ["id-1", "id-2"].map(|id| request(id, "send", "hello")).concat();
         client.write_all(both.as_bytes()).await.unwrap();
-        let mut answer = String::new();
-        client.read_to_string(&mut answer).await.unwrap();
-        assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("connection: close"), "{answer}");
-        assert_eq!(answer.matches("HTTP/1.1").count(), 1);
+        let mut response = String::new();
+        client.read_to_string(&mut response).await.unwrap();
+        assert!(response.starts_with("HTTP/1.1 503") && response.contains("connection: close"), "{response}");
+        assert_eq!(response.matches("HTTP/1.1").count(), 1);
         server.all_closed().await;
         assert!(was_reset(&client), "the second request was read");
     })
@@ -114,8 +114,8 @@
         // As the driver does.
         drop(submitted);
         server.all_closed().await;
-        let answer = read_to_close(&mut client);
-        assert!(answer.starts_with("HTTP/1.1 502") && answer.contains("connection: close"), "{answer}");
+        let response = read_to_close(&mut client);
+        assert!(response.starts_with("HTTP/1.1 502") && response.contains("connection: close"), "{response}");
     })
     .await;
 }
@@ -161,10 +161,10 @@
         let mut client = server.connect().await;
         let started = Instant::now();
         client.write_all(HEALTH).await.unwrap();
-        let mut answer = [0; 256];
-        let length = client.read(&mut answer).await.unwrap();
-        let answer = String::from_utf8_lossy(&answer[..length]);
-        assert!(answer.starts_with("HTTP/1.1 "), "{answer}");
+        let mut response = [0; 256];
+        let length = client.read(&mut response).await.unwrap();
+        let response = String::from_utf8_lossy(&response[..length]);
+        assert!(response.starts_with("HTTP/1.1 "), "{response}");
         assert!(started.elapsed() < Duration::from_millis(20), "answered after {:?}", started.elapsed());
         assert!(server.connections.count() <= 4 + RESERVED_CONNECTIONS + 1);
     })
@@ -202,15 +202,15 @@
         // The client's system must not be able to buffer all of it.
         socket2::SockRef::from(&client).set_send_buffer_size(4 * 1024).unwrap();
         let body = "x".repeat(256 * 1024);
-        let (report, answer) = tokio::sync::oneshot::channel();
+        let (report, response) = tokio::sync::oneshot::channel();
         std::thread::spawn(move || {
             let sent = client.write_all(request("id-1", "send", &body).as_bytes()).is_ok();
             let second_sent = client.write_all(request("id-2", "send", "hello").as_bytes()).is_ok();
-            let answer = read_to_close(&mut client);
-            let _ = report.send((sent && second_sent, answer, client));
+            let response = read_to_close(&mut client);
+            let _ = report.send((sent && second_sent, response, client));
         });
-        let (sent, answer, client) = answer.await.unwrap();
-        assert!(sent && answer.starts_with("HTTP/1.1 503"), "{answer}");
+        let (sent, response, client) = response.await.unwrap();
+        assert!(sent && response.starts_with("HTTP/1.1 503"), "{response}");
         server.all_closed().await;
         let error = client.take_error().unwrap();
         assert!(error.is_some(), "the second request was read");
