--- a/src/main.rs
+++ b/src/main.rs
@@ -7,14 +7,14 @@
 use llm_router::logging::Log;
 use llm_router::net::discovery::{Backoff, Directory, EndpointWatcher, dial_tcp};
 use llm_router::net::server::accept::{Listener, RESERVED_CONNECTIONS, ShutdownPhase};
-use llm_router::net::server::budget::Budget;
 use llm_router::net::server::connections::Connections;
+use llm_router::net::server::memory_budget::MemoryBudget;
 use llm_router::net::socket::listen;
 use llm_router::net::upstream::client::UpstreamClient;
 use llm_router::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
 use llm_router::runtime::counters::Counters;
 use llm_router::runtime::{Clock, Driver, DriverHandle};
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -204,8 +204,8 @@
         classes: settings.classes.iter().map(|c| c.name.clone()).collect(),
         ready: Box::new(ready),
         counters: counters.clone(),
-        budget: Budget::new(config.limits.memory_mb * 1024 * 1024 / 3),
-        ids: RefCell::default(),
+        body_memory: MemoryBudget::new(config.limits.memory_mb * 1024 * 1024 / 3),
+        active_ids: Rc::default(),
     });
     let seed = config.seed;
     let tools = config.tools.clone().map(|t| JsonRpcService::new(shared.clone(), t, connect_timeout, seed));
@@ -214,11 +214,12 @@
     let open = Rc::new(Connections::default());
     let bound = to_clients - RESERVED_CONNECTIONS;
     let accepting = Listener {
-        service: RequestService { shared: shared.clone(), tools },
-        bound,
-        waiting: bound,
-        stage: stages,
-        open: open.clone(),
+        handler: RequestService { context: shared.clone(), jsonrpc: tools },
+        max_connections: bound,
+        max_waiting_requests: bound,
+        shutdown: stages,
+        connections: open.clone(),
+        counters: counters.clone(),
     };
     let accepting = tokio::task::spawn_local(accepting.accept(listener));
     log::info!(
@@ -253,7 +254,7 @@
         let _ = accepting.await;
         log::info!("stopping: idle connections are closed, {} are open", open.count());
         // An id is in hand for as long as an attempt or a release of its request is: what is held is let go first.
-        while open.count() > 0 || !shared.ids.borrow().is_empty() {
+        while open.count() > 0 || !shared.active_ids.is_empty() {
             tokio::time::sleep(END_PAUSE).await;
         }
     };
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -1,59 +1,51 @@
-//! The server side: accepts clients within its bounds, and passes answers on.
+//! Accepts client connections within a limit.
 
-use crate::frontend::platform::{self, ResponseBody};
-use crate::frontend::service::{RETRY_AFTER, ReceivedRequest, RequestService};
-use crate::net::Local;
 use crate::net::failure::{AcceptFailure, accept_failure};
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::connection::serve;
-use crate::net::server::connections::Connections;
+use crate::net::server::connection_handler::{ConnectionHandler, LimitedHandler};
+use crate::net::server::connections::{Connections, EvictionResult};
+use crate::net::server::handler::RequestHandler;
+pub use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::counters::Counters;
-use bytes::Bytes;
-use hyper::body::{Body, Incoming};
-use hyper::header::{CONNECTION, HeaderValue};
-use hyper::{Request, Response};
-use std::convert::Infallible;
 use std::io;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tower::limit::ConcurrencyLimit;
-use tower::load_shed::LoadShed;
-use tower::{ServiceBuilder, ServiceExt};
+use tower::ServiceBuilder;
 
-/// Connections over the bound that are still told so; beyond them, one that is not being answered has to go at once for
-/// each that comes.
+/// Connections beyond the limit whose requests are still answered, with a rejection. Beyond these too, each accepted
+/// connection evicts one that is not being answered.
 pub const RESERVED_CONNECTIONS: usize = 16;
-/// Within this an evicted connection is gone if it can go.
-const EVICTION_TIME: Duration = Duration::from_millis(5);
-/// After an accept that failed for want of a descriptor: by then the connection that had to go for it is closed.
+/// How long an evicted connection may take to close before another one is evicted.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(5);
+/// The pause after an accept that failed for lack of a descriptor, in which the evicted connection closes, and after
+/// every [`MAX_FAILURES_WITHOUT_PAUSE`] failures of another kind.
 const ACCEPT_FAILED_PAUSE: Duration = Duration::from_millis(5);
-/// Accepts in a row that may fail without a pause.
-const MAX_FAILURES_AT_ONCE: u32 = 16;
-/// Accepts that fail in a row before the rest of the system's queue is given up.
-const MAX_ACCEPT_FAILURES: u32 = 1_600;
+/// How many accepts in a row may fail before there is a pause.
+const MAX_FAILURES_WITHOUT_PAUSE: u32 = 16;
+/// How many accepts in a row may fail before the rest of the system's queue is given up on.
+const MAX_CONSECUTIVE_FAILURES: u32 = 1_600;
 
-/// Accepts that have failed in a row.
+/// How many accepts have failed in a row.
 #[derive(Default)]
-struct AcceptFailures(u32);
+struct ConsecutiveFailures(u32);
 
-impl AcceptFailures {
-    fn is_first(&self) -> bool {
+impl ConsecutiveFailures {
+    fn is_empty(&self) -> bool {
         self.0 == 0
     }
 
     fn are_too_many(&self) -> bool {
-        self.0 >= MAX_ACCEPT_FAILURES
+        self.0 >= MAX_CONSECUTIVE_FAILURES
     }
 
-    /// A failure takes no time: the next connection may be there already, and others wait behind it. Only what lasts must
-    /// not keep the rest of the program from its turn, and an evicted connection has to be closed first.
-    async fn pause(&mut self, failure: AcceptFailure) {
+    /// Counts a failure. It costs no time, since the next connection may be there already and others wait behind it;
+    /// only a failure that lasts must not keep other tasks from running, and an evicted connection needs time to close.
+    async fn record_and_pause(&mut self, failure: AcceptFailure) {
         self.0 += 1;
-        if failure == AcceptFailure::OwnDescriptors || self.0.is_multiple_of(MAX_FAILURES_AT_ONCE) {
+        if failure == AcceptFailure::OwnDescriptors || self.0.is_multiple_of(MAX_FAILURES_WITHOUT_PAUSE) {
             tokio::time::sleep(ACCEPT_FAILED_PAUSE).await;
         } else {
             tokio::task::yield_now().await;
@@ -61,224 +53,145 @@
     }
 }
 
-/// How far an orderly end has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShutdownPhase {
-    /// In service.
-    Open,
-    /// Idle connections are closed, each other one after the answer under way, and what still comes is refused.
-    Closing,
+/// Accepts client connections and serves each in a task of its own, until a graceful shutdown closes the listener.
+pub struct Listener<H> {
+    /// Answers requests.
+    pub handler: H,
+    /// The most client connections; the requests of [`RESERVED_CONNECTIONS`] more are rejected.
+    pub max_connections: usize,
+    /// The most requests that wait for the head of their response; more are rejected.
+    pub max_waiting_requests: usize,
+    /// How far a graceful shutdown has progressed.
+    pub shutdown: watch::Receiver<ShutdownPhase>,
+    /// The open connections.
+    pub connections: Rc<Connections>,
+    /// Where connections, rejected requests and failed accepts are counted.
+    pub counters: Rc<Counters>,
 }
 
-/// An answer's body that tells its connection when it is over.
-pub struct TrackedBody {
-    body: ResponseBody,
-    client: Rc<ClientSocket>,
-}
-
-impl Drop for TrackedBody {
-    fn drop(&mut self) {
-        self.client.answered();
-    }
-}
-
-impl Body for TrackedBody {
-    type Data = Bytes;
-    type Error = platform::Broken;
-
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<hyper::body::Frame<Bytes>, platform::Broken>>> {
-        Pin::new(&mut self.body).poll_frame(cx)
-    }
-
-    fn is_end_stream(&self) -> bool {
-        self.body.is_end_stream()
-    }
-
-    fn size_hint(&self) -> hyper::body::SizeHint {
-        self.body.size_hint()
-    }
-}
-
-/// Accepts clients until told to stop, at most `bound` at once.
-pub struct Listener {
-    /// The service.
-    pub service: RequestService,
-    /// Most client connections; [`RESERVED_CONNECTIONS`] more are told that there is no room.
-    pub bound: usize,
-    /// Most requests that wait for their first event.
-    pub waiting: usize,
-    /// How far the end has come.
-    pub stage: watch::Receiver<ShutdownPhase>,
-    /// Connections that are open.
-    pub open: Rc<Connections>,
-}
-
-impl Listener {
-    /// Accepts until the closing stage, and then what still waits in the system's queue: a listener closed over
-    /// connections resets them.
+impl<H: RequestHandler> Listener<H> {
+    /// Accepts connections until the shutdown's closing phase, and then those that already wait in the system's queue:
+    /// closing the listener over them would reset them. Resolves when they have been accepted; their tasks run on.
+    ///
+    /// Dropped early, it closes the listener and leaves the accepted connections running.
     pub async fn accept(self, listener: TcpListener) {
-        // Over its bound the service refuses: tower's shed turns a full limit into an error, answered below.
-        let service =
-            ServiceBuilder::new().load_shed().concurrency_limit(self.waiting).service(self.service.clone());
-        let mut stage = self.stage.clone();
+        // Over its concurrency limit the handler is not ready; load shedding turns that into an error, which the
+        // connection's handler answers with a rejection.
+        let limited = ServiceBuilder::new()
+            .load_shed()
+            .concurrency_limit(self.max_waiting_requests)
+            .service(self.handler.clone());
+        let mut shutdown = self.shutdown.clone();
         tokio::select! {
+            // The shutdown first: connections that arrive faster than they are accepted must not delay it.
             biased;
-            _ = stage.wait_for(|s| *s == ShutdownPhase::Closing) => {}
-            () = self.accept_next(&listener, &service) => {}
+            _ = shutdown.wait_for(|phase| *phase == ShutdownPhase::Closing) => {}
+            () = self.accept_all(&listener, &limited) => {}
         }
-        self.drain_backlog(listener, &service).await;
+        self.drain_backlog(listener, &limited).await;
     }
 
-    /// Accepts one after another, also in a full house: none is left to wait in the system's queue.
-    async fn accept_next(&self, listener: &TcpListener, service: &BoundedService) {
-        let mut failures = AcceptFailures::default();
+    /// Accepts one connection after another, over the limit too: none is left to wait in the system's queue.
+    async fn accept_all(&self, listener: &TcpListener, limited: &LimitedHandler<H>) {
+        let mut failures = ConsecutiveFailures::default();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    failures = AcceptFailures::default();
-                    self.admit(stream, service);
-                    self.keep_reserve().await;
+                    failures = ConsecutiveFailures::default();
+                    self.spawn_connection(stream, limited);
+                    self.enforce_hard_limit().await;
                 }
-                Err(error) => self.accept_failed(&error, &mut failures).await,
+                Err(error) => self.handle_accept_error(&error, &mut failures).await,
             }
         }
     }
 
-    /// Makes the next accept possible, as far as anything can be done about it here.
-    async fn accept_failed(&self, error: &io::Error, failures: &mut AcceptFailures) {
-        self.counters().accept_errors.increment();
+    /// Makes the next accept possible, as far as this process can.
+    async fn handle_accept_error(&self, error: &io::Error, failures: &mut ConsecutiveFailures) {
+        self.counters.accept_errors.increment();
         let failure = accept_failure(error);
-        if failures.is_first() {
+        if failures.is_empty() {
             log::warn!("accept: {error} ({failure:?})");
         }
         if failure == AcceptFailure::OwnDescriptors {
-            self.open.make_room_at_once(self.counters());
+            self.connections.evict_at_once(&self.counters);
         }
-        failures.pause(failure).await;
+        failures.record_and_pause(failure).await;
     }
 
-    /// Waits until there are no more connections than there may be. Those over the bound are refused as soon as they
-    /// ask, so among them there is always one that can go.
-    async fn keep_reserve(&self) {
-        while self.open.count() > self.bound + RESERVED_CONNECTIONS {
-            self.open.make_room_at_once(self.counters());
-            // One whose request came in this moment is answered first: then another has to go.
-            let _ = tokio::time::timeout(EVICTION_TIME, self.open.freed()).await;
+    /// Evicts connections until they are within the limit and its reserve. Those over the limit are rejected as soon as
+    /// they send a request, so one of them can always be evicted.
+    async fn enforce_hard_limit(&self) {
+        while self.connections.count() > self.max_connections + RESERVED_CONNECTIONS {
+            self.connections.evict_at_once(&self.counters);
+            // An evicted connection whose request arrives at this moment is answered first: then another one is evicted.
+            let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.connections.slot_released()).await;
         }
     }
 
-    /// Takes in what waits in the system's queue, and no more.
-    async fn drain_backlog(&self, listener: TcpListener, service: &BoundedService) {
-        // Asked directly: the runtime may not have looked at the listener since the last connection came.
+    /// Accepts the connections that already wait in the system's queue.
+    async fn drain_backlog(&self, listener: TcpListener, limited: &LimitedHandler<H>) {
+        // The system is asked directly: the runtime may not have polled the listener since the last connection arrived.
         let Ok(listener) = listener.into_std() else { return };
         let accept = || {
             let (stream, _) = listener.accept()?;
             stream.set_nonblocking(true)?;
             TcpStream::from_std(stream)
         };
-        self.drain(accept, service).await;
+        self.drain(accept, limited).await;
     }
 
-    /// Takes in what `accept` gives until nothing waits any more. A failure ends it only when it lasts.
-    async fn drain(&self, mut accept: impl FnMut() -> io::Result<TcpStream>, service: &BoundedService) {
-        let mut failures = AcceptFailures::default();
+    /// Accepts until nothing waits any more. Only failures without end stop it earlier.
+    async fn drain(&self, mut accept: impl FnMut() -> io::Result<TcpStream>, limited: &LimitedHandler<H>) {
+        let mut failures = ConsecutiveFailures::default();
         loop {
             match accept() {
                 Ok(stream) => {
-                    failures = AcceptFailures::default();
-                    self.admit(stream, service);
+                    failures = ConsecutiveFailures::default();
+                    self.spawn_connection(stream, limited);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(_) if failures.are_too_many() => return,
-                Err(error) => self.accept_failed(&error, &mut failures).await,
+                Err(error) => self.handle_accept_error(&error, &mut failures).await,
             }
         }
     }
 
-    fn counters(&self) -> &Rc<Counters> {
-        &self.service.shared.counters
-    }
-
-    /// Takes a connection in, and serves it beside the others.
-    fn admit(&self, stream: TcpStream, service: &BoundedService) {
-        let counters = self.counters().clone();
-        counters.client_connections.increment();
-        let client = ClientSocket::new(self.open.next_number(), Rc::new(stream));
-        let place = self.open.enter(client.clone());
-        // Room is made before there is none: clients that keep their connections for good must not leave a burst
-        // to those that are refused.
-        let crowded = self.open.count() > self.bound * 3 / 4;
-        let over = crowded && !self.open.make_room(&counters) && self.open.count() > self.bound;
-        log::debug!("connection {}: accepted, {} are open", client.number(), self.open.count());
-        if over {
-            counters.connections_rejected.increment();
+    /// Registers a connection and serves it in a task of its own.
+    fn spawn_connection(&self, stream: TcpStream, limited: &LimitedHandler<H>) {
+        self.counters.client_connections.increment();
+        let client = ClientSocket::new(self.connections.next_number(), Rc::new(stream));
+        let slot = self.connections.register(client.clone());
+        let is_over_limit = self.is_over_limit();
+        log::debug!("connection {}: accepted, {} are open", client.number(), self.connections.count());
+        if is_over_limit {
+            self.counters.connections_rejected.increment();
         }
-        let answering = Answerer {
-            service: service.clone(),
-            client: client.clone(),
-            counters: counters.clone(),
-            over,
-            stage: self.stage.clone(),
+        let handler = ConnectionHandler {
+            limited: limited.clone(),
+            handler: self.handler.clone(),
+            client,
+            counters: self.counters.clone(),
+            is_over_limit,
+            shutdown: self.shutdown.clone(),
         };
-        let stage = self.stage.clone();
         tokio::task::spawn_local(async move {
-            let _place = place;
-            let answer = move |request| -> Local<Result<Response<TrackedBody>, Infallible>> {
-                Box::pin(answering.clone().answer(request))
-            };
-            serve(hyper::service::service_fn(answer), stage, &client, &counters).await;
+            // Kept until the connection has ended, also if serving it panics.
+            let _slot = slot;
+            serve(handler).await;
         });
     }
-}
-
-/// The edge behind the bound on requests that wait.
-type BoundedService = LoadShed<ConcurrencyLimit<RequestService>>;
-
-/// Answers the requests of one connection.
-#[derive(Clone)]
-struct Answerer {
-    service: BoundedService,
-    client: Rc<ClientSocket>,
-    counters: Rc<Counters>,
-    /// Whether the connection came when there was no room.
-    over: bool,
-    stage: watch::Receiver<ShutdownPhase>,
-}
 
-impl Answerer {
-    async fn answer(self, request: Request<Incoming>) -> Result<Response<TrackedBody>, Infallible> {
-        let client = self.client.clone();
-        let arrival = ReceivedRequest { request, client: client.clone(), stage: self.stage.clone() };
-        let mut response = if self.over {
-            log::debug!("connection {}: a request is refused: too many connections", client.number());
-            platform::refusal(Some(RETRY_AFTER))
-        } else {
-            match self.service.clone().oneshot(arrival).await {
-                Ok(response) => response,
-                Err(_) => {
-                    log::debug!("connection {}: a request is refused: too many wait", client.number());
-                    self.counters.requests_shed.increment();
-                    platform::refusal(Some(RETRY_AFTER))
-                }
-            }
-        };
-        if self.is_last() {
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            client.answers_last();
+    /// Whether the connection that was registered last is to be rejected.
+    ///
+    /// From three quarters of the limit on each further connection evicts a settled one, ahead of need: clients that
+    /// keep their connections open for good would otherwise leave nothing for a burst.
+    fn is_over_limit(&self) -> bool {
+        if self.connections.count() <= self.max_connections * 3 / 4 {
+            return false;
         }
-        if response.body().is_stream() {
-            client.streams();
-        }
-        Ok(response.map(|body| TrackedBody { body, client }))
-    }
-
-    /// Whether the connection ends with this answer. A graceful shutdown still refuses what has arrived behind it.
-    fn is_last(&self) -> bool {
-        let closing = *self.stage.borrow() == ShutdownPhase::Closing;
-        self.over || self.client.is_spent() || self.client.has_left() || closing && !self.client.has_unread()
+        let eviction = self.connections.evict_early(&self.counters);
+        eviction == EvictionResult::NoCandidate && self.connections.count() > self.max_connections
     }
 }
 
