--- /dev/null
+++ b/src/frontend/jsonrpc/call.rs
@@ -0,0 +1,144 @@
+//! One call: from its parameters to the forwarded request and the stream of its answer.
+
+use super::active_calls::{ActiveCall, ActiveCalls};
+use super::error::RpcError;
+use super::params::CompletionParams;
+use super::protocol::RpcRequest;
+use crate::frontend::platform;
+use crate::frontend::service::{MAX_BODY_BYTES, ServiceContext};
+use crate::interface::{RequestId, RequestSpec};
+use crate::net::server::client_socket::ClientSocket;
+use crate::runtime::exchange::{DisconnectGuard, FinalResponse, ForwardedRequest, ResponseStream};
+use bytes::Bytes;
+use hyper::HeaderMap;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use serde_json::value::RawValue;
+use std::rc::Rc;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// The length of one token where a client does not state its prompt's.
+const BYTES_PER_TOKEN: u64 = 4;
+
+/// What the relay of an answer needs of its call.
+pub struct CallContext {
+    /// The id of the client's request, for the response.
+    pub id: Option<Box<RawValue>>,
+    /// Tool calls of the answer so far, those before a resume included.
+    pub tool_calls: u32,
+    /// The call's place in the table.
+    pub active_call: ActiveCall,
+}
+
+/// A call whose answer streams.
+///
+/// The fields are dropped in this order: first the driver hears that the client disconnected (unless the stream had
+/// ended), then the stream closes, and last the name of the request is free again.
+pub struct StreamingCall {
+    /// Reports a disconnect to the driver unless it is told that the stream has ended.
+    pub disconnect_guard: DisconnectGuard,
+    /// The decode worker's stream.
+    pub stream: ResponseStream,
+    /// What is known of the call.
+    pub context: CallContext,
+}
+
+/// Starts calls.
+pub struct CallStarter {
+    context: Rc<ServiceContext>,
+    active_calls: Rc<ActiveCalls>,
+    /// Seeds the ids under which workers know the calls.
+    seed: u64,
+}
+
+impl CallStarter {
+    /// A starter that enters its calls in this table.
+    pub fn new(context: Rc<ServiceContext>, active_calls: Rc<ActiveCalls>, seed: u64) -> Self {
+        CallStarter { context, active_calls, seed }
+    }
+
+    /// Checks a request, forwards it, and waits until its answer begins to stream. Dropping the future tells the driver
+    /// that the client disconnected, and frees the request's name.
+    ///
+    /// # Errors
+    /// The request is malformed, a duplicate or cancelled, or the driver rejected or failed it.
+    pub async fn start(
+        &self,
+        request: RpcRequest,
+        client: &Rc<ClientSocket>,
+    ) -> Result<StreamingCall, RpcError> {
+        if !self.context.classes.contains(&request.method) {
+            return Err(RpcError::MethodNotFound);
+        }
+        let params = CompletionParams::decode(request.params.as_deref())?;
+        let body = Bytes::from(params.prompt(&request.method));
+        if body.len() > MAX_BODY_BYTES {
+            return Err(RpcError::PromptTooLong);
+        }
+        let resumes = params.resume.is_some();
+        let tool_calls = params.resume.as_ref().map_or(0, |resume| resume.tool_calls);
+        let mut active_call = self.active_calls.register(params.name.as_str().into(), resumes)?;
+        let spec = self.request_spec(params, request.method, body.len(), client);
+        let forwarded = self.forwarded_request(active_call.number(), body, client);
+        let pending = self.context.driver.submit_request(spec, forwarded);
+        // Not biased: a cancellation that is ready together with the answer may win or lose. Where it wins, the pending
+        // response is dropped, which cancels the request at the driver.
+        let (response, disconnect_guard) = tokio::select! {
+            response = pending.response_unless_disconnected(client.left()) => response,
+            _ = active_call.interrupted() => return Err(RpcError::Cancelled),
+        };
+        match response {
+            FinalResponse::Rejected { retry_after } => {
+                Err(RpcError::Rejected { retry_after: retry_after.map(|micros| micros as f64 / 1e6) })
+            }
+            FinalResponse::Failed => Err(RpcError::Failed),
+            FinalResponse::Stream(stream) => {
+                active_call.mark_streaming();
+                let context = CallContext { id: request.id, tool_calls, active_call };
+                Ok(StreamingCall { disconnect_guard, stream, context })
+            }
+        }
+    }
+
+    /// What the policy learns of a request. Its time began when its first byte waited on the client's connection.
+    fn request_spec(
+        &self,
+        params: CompletionParams,
+        class: String,
+        body_bytes: usize,
+        client: &ClientSocket,
+    ) -> RequestSpec {
+        let prompt_tokens = params.prompt_tokens.unwrap_or(body_bytes as u64 / BYTES_PER_TOKEN);
+        RequestSpec {
+            request: RequestId(0),
+            deadline: self.context.driver.clock.ago(client.waited()) + params.deadline_ms * 1000,
+            session: params.session.map(Into::into),
+            prefix: params.prefix.map(Into::into),
+            prefix_tokens: params.prefix_tokens.min(prompt_tokens),
+            prompt_tokens,
+            max_tokens: params.max_tokens,
+            expected_decode_time: None,
+            class,
+            tenant: None,
+        }
+    }
+
+    /// The request as workers receive it. Its id is new for every call, as it is on the platform's path; what lasts
+    /// over resumes is the client's name for the request.
+    fn forwarded_request(
+        &self,
+        call_number: u64,
+        body: Bytes,
+        client: &Rc<ClientSocket>,
+    ) -> ForwardedRequest {
+        let id = format!("{:016x}", xxh3_64_with_seed(&call_number.to_le_bytes(), self.seed));
+        let json = HeaderValue::from_static("application/json");
+        ForwardedRequest {
+            id,
+            target: platform::PATH.to_owned(),
+            headers: HeaderMap::from_iter([(CONTENT_TYPE, json)]),
+            body,
+            client: client.connection(),
+            resources: None,
+        }
+    }
+}
--- a/src/frontend/jsonrpc/ledger/tests.rs
+++ b/src/frontend/jsonrpc/replay_buffer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is private to `ledger`.
+//! Tests of what is private to the replay buffer.
 
 use super::*;
 
--- a/src/frontend/jsonrpc/tests.rs
+++ b/src/frontend/jsonrpc/sse/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is private to `jsonrpc`.
+//! Tests of the event parser.
 
 use super::*;
 
@@ -6,11 +6,11 @@
 fn events_come_out_whole_wherever_the_bytes_are_cut() {
     let wire = b": hello\r\ndata: {\"a\":1}\r\n\r\nevent: x\ndata: one\ndata: two\n\ndata: rest";
     for cut in 0..wire.len() {
-        let mut events = Events::default();
+        let mut parser = EventParser::default();
         let mut seen = Vec::new();
         for part in [&wire[..cut], &wire[cut..]] {
-            events.take(part).unwrap();
-            while let Some(event) = events.next().unwrap() {
+            parser.push(part).unwrap();
+            while let Some(event) = parser.next_event().unwrap() {
                 seen.push(event);
             }
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -241,7 +241,7 @@
                 pool.retire();
                 log.report_dropped_lines();
                 if let Some(front) = &front {
-                    front.tidy();
+                    front.evict_expired();
                 }
             }
         }
