--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router between scripted peers on loopback sockets: one story for each thing that went wrong or would.
+//! The router between scripted workers on loopback sockets, one test for each fault that was found or is guarded against.
 
 mod support;
 
@@ -6,23 +6,30 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::Shutdown;
 use std::process::Command;
+use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
-use std::sync::{Arc, Mutex};
 use support::*;
 
+/// A router with one prefill and one decode worker.
+fn start_router(prefill_worker: &Peer, decode_worker: &Peer) -> RouterProcess {
+    RouterProcess::start(&operator_file(&[prefill_worker.address], &[decode_worker.address], ""))
+}
+
 #[test]
-fn a_request_is_read_then_written_and_nothing_of_it_is_changed() {
-    let ((writer, messages), reader) = (recording_decode_worker(), Peer::prefill_worker());
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+fn a_request_is_prefilled_then_decoded_and_forwarded_unchanged() {
+    let ((decode, messages), prefill) = (recording_decode_worker(), Peer::prefill_worker());
+    let router = start_router(&prefill, &decode);
     assert!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("200"));
     let answer = router.request("id-1", "send");
     let message = messages.recv().unwrap();
     assert_eq!(message.line, "POST /v1/chat/completions?x=1 HTTP/1.1");
     assert_eq!((message.header("x-request-id"), message.text().as_str()), (Some("id-1"), "hello"));
     assert_eq!(answer.header("content-type"), Some("text/event-stream"));
-    let wanted =
+    let first_event =
         "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"},\"finish_reason\":null}]}\n\n";
-    assert!(answer.whole && answer.text().starts_with(wanted) && answer.text().ends_with("data: [DONE]\n\n"));
+    assert!(
+        answer.whole && answer.text().starts_with(first_event) && answer.text().ends_with("data: [DONE]\n\n")
+    );
     let counters = router.stop();
     let counts = [
         "requests_received",
@@ -35,56 +42,57 @@
     assert_eq!(counts.map(|c| counters.get(c)), [1, 2, 1, 1, 1, 0]);
 }
 
-/// Workers may need any of a request's headers, an idempotency key for one; those of the client's connection concern
-/// nobody else, and the deadline is told anew.
+/// Workers may need any of a request's headers, an idempotency key for one. Those of the client's connection are not
+/// forwarded, and the deadline is written anew.
 #[test]
 fn a_request_keeps_its_end_to_end_headers_and_no_others() {
-    let ((writer, messages), reader) = (recording_decode_worker(), Peer::prefill_worker());
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
-    let more = "idempotency-key: k-1\r\nx-other: a\r\nx-other: b\r\ncontent-type: application/json\r\n\
+    let ((decode, messages), prefill) = (recording_decode_worker(), Peer::prefill_worker());
+    let router = start_router(&prefill, &decode);
+    let headers = "idempotency-key: k-1\r\nx-other: a\r\nx-other: b\r\ncontent-type: application/json\r\n\
                 connection: x-hop\r\nx-hop: c\r\nkeep-alive: timeout=5\r\nte: trailers\r\ncontent-length";
-    let answer = router.raw(request("id-1", "send", "hello").replace("content-length", more).as_bytes());
+    let answer = router.raw(request("id-1", "send", "hello").replace("content-length", headers).as_bytes());
     assert_eq!(answer.status(), 200);
     let message = messages.recv().unwrap();
-    let all =
+    let values =
         |name: &str| message.headers.iter().filter(|(n, _)| n == name).map(|(_, v)| v.as_str()).collect();
-    let headers: [Vec<&str>; 7] =
-        ["idempotency-key", "x-other", "content-type", "x-hop", "keep-alive", "te", "connection"].map(all);
-    let wanted: [&[&str]; 7] = [&["k-1"], &["a", "b"], &["application/json"], &[], &[], &[], &[]];
-    assert_eq!(headers, wanted);
-    let deadlines: Vec<&str> = all("x-deadline");
+    let forwarded: [Vec<&str>; 7] =
+        ["idempotency-key", "x-other", "content-type", "x-hop", "keep-alive", "te", "connection"].map(values);
+    let expected: [&[&str]; 7] = [&["k-1"], &["a", "b"], &["application/json"], &[], &[], &[], &[]];
+    assert_eq!(forwarded, expected);
+    let deadlines: Vec<&str> = values("x-deadline");
     assert!(
         deadlines.len() == 1 && deadlines[0].ends_with('u') && deadlines[0] != "8000000u",
         "{deadlines:?}"
     );
 }
 
-/// Guards against requests written to connections that their hosts have given up without a word: one is enough to
-/// know of, and what must not run twice is not written to another.
+/// Guards against requests written to connections that their workers have dropped without a close: one stale connection
+/// is enough to distrust the others, and a request that is not idempotent is not retried on another.
 #[test]
-fn after_a_kept_connection_was_found_dead_none_is_used_again() {
-    let once = |answer: fn(&mut Conn)| {
+fn after_a_stale_connection_no_pooled_connection_is_reused() {
+    // A worker that answers the first request of each connection, and closes the connection at the second.
+    let answers_once = |answer: fn(&mut Conn)| {
         let seen = Mutex::new(std::collections::HashSet::new());
         Peer::start(move |message, conn| {
-            let first = seen.lock().unwrap().insert(conn.0.peer_addr().unwrap());
+            let is_first = seen.lock().unwrap().insert(conn.0.peer_addr().unwrap());
             if message.line.starts_with("DELETE") {
                 conn.answer("204 No Content", "", "");
-            } else if first {
+            } else if is_first {
                 answer(conn);
             }
-            first
+            is_first
         })
     };
-    let reader = once(|conn| conn.answer("202 Accepted", "", r#"{"cached_tokens":4}"#));
-    let writer = once(|conn| {
+    let prefill = answers_once(|conn| conn.answer("202 Accepted", "", r#"{"cached_tokens":4}"#));
+    let decode = answers_once(|conn| {
         conn.begin_stream();
         conn.delta("one");
         conn.end_stream();
     });
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let router = start_router(&prefill, &decode);
     for i in 0..10 {
         assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200, "request {i}");
-        // Kept connections are used again once they have rested.
+        // A pooled connection is reused only once it is known that no bytes trail the last response.
         std::thread::sleep(2 * llm_router::net::upstream::pool::TRAILING_BYTES_WAIT);
     }
     assert_eq!(router.stop().get("stale_connections"), 1);
@@ -92,167 +100,132 @@
 
 #[rstest]
 #[case::unreachable("")]
-#[case::turned_away("503 Service Unavailable")]
-fn an_unsafe_request_that_never_ran_goes_to_another_writer(#[case] status: &'static str) {
-    let full = Peer::start(move |_, conn| {
+#[case::rejected("503 Service Unavailable")]
+fn a_non_idempotent_request_that_had_no_effect_is_retried_at_another_decode_worker(
+    #[case] status: &'static str,
+) {
+    let rejecting = Peer::start(move |_, conn| {
         conn.answer(status, "x-not-run: 1\r\n", "");
         true
     });
-    let (writer, reader) = (decode_worker(), Peer::prefill_worker());
-    let first = if status.is_empty() { Peer::nobody() } else { full.address };
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[first, writer.address], ""));
+    let (decode, prefill) = (decode_worker(), Peer::prefill_worker());
+    let first = if status.is_empty() { Peer::nobody() } else { rejecting.address };
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &[first, decode.address], ""));
     for i in 0..8 {
         assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200);
     }
 }
 
-/// Guards against a release that overtakes nothing: sent while the second read is out, it took that read's
-/// state, and the writer found none.
+/// Guards against a release that comes too late: sent while the second prefill attempt was in flight, it released that
+/// attempt's cache, and the decode worker found none.
 #[test]
-fn what_a_broken_read_may_have_left_is_released_before_the_next_read() {
-    let broken = AtomicU32::new(0);
-    let (reader, told) = recording_peer(move |_, conn| {
-        if broken.fetch_add(1, Ordering::SeqCst) == 0 {
+fn cache_of_a_broken_prefill_is_released_before_the_next_attempt() {
+    let attempts = AtomicU32::new(0);
+    let (prefill, lines) = recording_peer(move |_, conn| {
+        if attempts.fetch_add(1, Ordering::SeqCst) == 0 {
             return false;
         }
         conn.answer("202 Accepted", "", r#"{"cached_tokens":0}"#);
         true
     });
-    let writer = Peer::start(|message, conn| {
-        if message.line.starts_with("DELETE") {
-            // Not this one: the release has to reach a host that takes it.
-            return false;
-        }
-        conn.begin_stream();
-        conn.delta("one");
-        conn.end_stream();
-        true
-    });
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    // It takes no release, which has to reach the prefill worker.
+    let decode = Peer::start(decode_worker_without_release);
+    let router = start_router(&prefill, &decode);
     assert_eq!(router.request("id-1", "send").status(), 200);
-    let lines: Vec<String> = told.try_iter().collect();
-    let wanted = ["POST /v1/chat", "DELETE /internal/reservations/id-1", "POST /v1/chat"];
-    assert!(lines.len() == 3 && lines.iter().zip(wanted).all(|(l, w)| l.starts_with(w)), "{lines:?}");
+    let lines: Vec<String> = lines.try_iter().collect();
+    let expected = ["POST /v1/chat", "DELETE /internal/reservations/id-1", "POST /v1/chat"];
+    assert!(lines.len() == 3 && lines.iter().zip(expected).all(|(l, e)| l.starts_with(e)), "{lines:?}");
 }
 
-/// Guards against a second copy sent under the id of a request whose stream still runs: other clients may name it.
+/// Guards against a second request under the id of one whose stream still runs: other clients may choose the same id.
 #[test]
-fn an_id_is_in_hand_until_its_stream_has_ended() {
-    let (begun, begins) = shared_channel();
-    let go = Arc::new(Mutex::new(()));
-    let held = go.lock().unwrap();
-    let gate = go.clone();
-    let writer = Peer::start(move |_, conn| {
-        conn.begin_stream();
-        conn.delta("one");
-        begun("".into());
-        drop(gate.lock());
-        conn.end_stream();
-        true
-    });
-    let reader = Peer::prefill_worker();
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+fn an_id_is_in_use_until_its_stream_has_ended() {
+    let (decode, prefill) = (GatedDecodeWorker::start(), Peer::prefill_worker());
+    let router = start_router(&prefill, &decode.peer);
     let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    begins.recv().unwrap();
-    // The head of the answer: the request has its answer, and its stream runs.
+    decode.wait_for_stream();
+    // The head of the response has come: the request has its answer, and its stream runs.
     client.fill_buf().unwrap();
     assert_eq!(router.request("id-1", "send").status(), 409);
-    drop(held);
+    let _decode = decode.open_gate();
     assert!(Message::read(&mut client).unwrap().whole);
     while router.request("id-1", "send").status() == 409 {}
     assert_eq!(router.stop().get("requests_received"), 2);
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along_and_its_state_is_released() {
-    let (tell, told) = shared_channel();
-    let (closed, closes) = shared_channel();
-    // Any host may be asked to let go: one host is both here.
-    let (host, deleted) = recording_peer(move |_, conn| {
-        tell("read".into());
-        closed(conn.is_closed().to_string());
-        false
-    });
-    let router = RouterProcess::start(&operator_file(&[host.address], &[host.address], ""));
+fn a_disconnected_client_s_attempt_is_cancelled_and_its_cache_released() {
+    // A release may go to any worker of a request: one worker has both roles here.
+    let worker = HangingWorker::start();
+    let router = start_router(&worker.peer, &worker.peer);
     let mut client = router.connect();
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    told.recv().unwrap();
+    worker.wait_for_request();
     client.shutdown(Shutdown::Both).unwrap();
-    assert_eq!(closes.recv().unwrap(), "true");
-    assert!(deleted.iter().any(|l| l.starts_with("DELETE /internal/reservations/id-1")));
+    assert!(worker.router_closed_connection());
+    assert!(worker.wait_for_line("DELETE /internal/reservations/id-1"));
 }
 
-/// A client that has only ended its sending can't be told from one that has gone: nothing more is begun for it, and it
-/// hears at once whether trying again is harmless.
+/// A client that has only closed its sending side can't be told from one that is gone: no further attempt is made for
+/// it, and it learns at once whether a retry is harmless.
 #[rstest]
-#[case::of_what_may_be_repeated("explain", 503)]
-#[case::of_what_may_have_run("send", 502)]
-fn a_client_that_ends_its_sending_hears_the_end_of_its_request(#[case] class: &str, #[case] status: u16) {
-    let (tell, told) = shared_channel();
-    let (host, lines) = recording_peer(move |_, conn| {
-        tell("read".into());
-        conn.is_closed();
-        false
-    });
-    let router = RouterProcess::start(&operator_file(&[host.address], &[host.address], ""));
+#[case::of_an_idempotent_one("explain", 503)]
+#[case::of_one_that_may_have_run("send", 502)]
+fn a_client_that_half_closes_gets_the_outcome_of_its_request(#[case] class: &str, #[case] status: u16) {
+    let worker = HangingWorker::start();
+    let router = start_router(&worker.peer, &worker.peer);
     let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", class, "hello").as_bytes()).unwrap();
-    told.recv().unwrap();
+    worker.wait_for_request();
     client.get_mut().shutdown(Shutdown::Write).unwrap();
     let answer = Message::read(&mut client).unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")));
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     assert_eq!(router.stop().get("client_disconnects"), 1);
-    assert_eq!(lines.try_iter().filter(|line| line.starts_with("POST")).count(), 1);
+    assert_eq!(worker.requests_received(), 1);
 }
 
-/// Guards against work for nobody: a close was seen only once the requests ahead of it had been read, and the later ones
-/// of such a client were sent on one after another.
+/// Guards against work for a client that is gone: a close was noticed only once the requests ahead of it had been read,
+/// and a disconnected client's pipelined requests were forwarded one after another.
 #[test]
-fn a_client_that_sent_more_and_left_is_gone_at_once_with_all_that_it_sent() {
-    let (tell, told) = shared_channel();
-    let (closed, closes) = shared_channel();
-    let (host, lines) = recording_peer(move |_, conn| {
-        tell("read".into());
-        closed(conn.is_closed().to_string());
-        false
-    });
-    let router = RouterProcess::start(&operator_file(&[host.address], &[host.address], ""));
+fn a_disconnect_behind_pipelined_requests_is_noticed_at_once_and_ends_them_all() {
+    let worker = HangingWorker::start();
+    let router = start_router(&worker.peer, &worker.peer);
     let mut client = router.connect();
-    let all = ["id-1", "id-2", "id-3"].map(|id| request(id, "send", "hello")).concat();
-    client.write_all(all.as_bytes()).unwrap();
-    told.recv().unwrap();
+    let pipelined = ["id-1", "id-2", "id-3"].map(|id| request(id, "send", "hello")).concat();
+    client.write_all(pipelined.as_bytes()).unwrap();
+    worker.wait_for_request();
     client.shutdown(Shutdown::Both).unwrap();
-    assert_eq!(closes.recv().unwrap(), "true");
+    assert!(worker.router_closed_connection());
     let counters = router.stop();
     assert_eq!(
         ["requests_received", "attempts_sent", "client_disconnects"].map(|c| counters.get(c)),
         [1, 1, 1]
     );
-    assert_eq!(lines.try_iter().filter(|l| l.starts_with("POST")).count(), 1);
+    assert_eq!(worker.requests_received(), 1);
 }
 
-/// Guards against answers held back: what the module gives up is refused at once, with advice.
+/// Guards against delayed rejections: what the policy gives up is rejected at once, with advice when to retry.
 #[test]
-fn what_is_given_up_is_refused_with_advice_long_before_its_deadline() {
+fn a_request_without_a_worker_is_rejected_with_retry_after_long_before_its_deadline() {
     let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
     let answer = router.request("id-1", "send");
     assert_eq!(answer.status(), 503);
-    let advice: f64 = answer.header("retry-after").unwrap().parse().unwrap();
-    assert!((1.0..=2.0).contains(&advice), "{advice}");
+    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    assert!((1.0..=2.0).contains(&retry_after), "{retry_after}");
 }
 
 #[rstest]
 #[case::no_toml("listen = ", "line 1")]
 #[case::no_settings("listen = \"127.0.0.1:0\"", "settings")]
 #[case::setting("listen = \"127.0.0.1:0\"\n[settings]\nmy_zone = \"z\"", "classes.count")]
-fn a_broken_configuration_is_one_line_and_a_failure(#[case] text: &str, #[case] names: &str) {
+fn an_invalid_configuration_is_a_failure_with_one_line(#[case] text: &str, #[case] named: &str) {
     let file =
         std::env::temp_dir().join(format!("llm-router-broken-{}-{}.toml", std::process::id(), text.len()));
     std::fs::write(&file, text).unwrap();
     let done = Command::new(env!("CARGO_BIN_EXE_llm-router")).arg("serve").arg(&file).output().unwrap();
     std::fs::remove_file(&file).unwrap();
     let error = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success() && error.lines().count() == 1 && error.contains(names), "{error}");
+    assert!(!done.status.success() && error.lines().count() == 1 && error.contains(named), "{error}");
 }
--- /dev/null
+++ b/tests/support/router_process.rs
@@ -0,0 +1,153 @@
+//! The router as a process of its own, with its log and its counters.
+
+use super::{HANG_TIMEOUT, Message, request, rpc_request};
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{Arc, Mutex, mpsc};
+use std::thread;
+
+/// Descriptors that a router is granted where the test does not say.
+const DESCRIPTORS: usize = 1024;
+
+/// A router under test. Dropping it kills the process.
+pub struct RouterProcess {
+    child: Child,
+    /// Where it serves clients.
+    pub address: SocketAddr,
+    log: mpsc::Receiver<String>,
+    /// While a test holds this lock nobody reads the log.
+    pub log_reading: Arc<Mutex<()>>,
+    operator_file: PathBuf,
+}
+
+impl RouterProcess {
+    /// Starts a router with this operator's file, and waits until it serves.
+    pub fn start(operator_file: &str) -> RouterProcess {
+        RouterProcess::start_within(DESCRIPTORS, operator_file)
+    }
+
+    /// Starts it where the system grants no more than so many descriptors.
+    pub fn start_within(descriptors: usize, operator_file: &str) -> RouterProcess {
+        RouterProcess::start_in(descriptors, operator_file, &[])
+    }
+
+    /// Starts it with more variables in its environment.
+    pub fn start_in(descriptors: usize, operator_file: &str, environment: &[(&str, &Path)]) -> RouterProcess {
+        static NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        let file = std::env::temp_dir().join(format!("llm-router-{}-{number}.toml", std::process::id()));
+        std::fs::write(&file, operator_file).unwrap();
+        let mut child = Command::new("sh")
+            .args(["-c", "ulimit -n $0; exec \"$@\"", &descriptors.to_string()])
+            .args([env!("CARGO_BIN_EXE_llm-router"), "serve", file.to_str().unwrap()])
+            .envs(environment.iter().copied())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        let log_reading = Arc::new(Mutex::new(()));
+        let log = read_log(child.stderr.take().unwrap(), log_reading.clone());
+        let address = "127.0.0.1:1".parse().unwrap();
+        let mut router = RouterProcess { child, address, log, log_reading, operator_file: file };
+        let line = router.wait_for("serves on ");
+        let address = line.split("serves on ").nth(1).unwrap().split(',').next().unwrap();
+        router.address = address.parse().unwrap();
+        router
+    }
+
+    /// Waits for the next line of the log with this text.
+    pub fn wait_for(&self, text: &str) -> String {
+        self.lines_to(text).pop().unwrap_or_default()
+    }
+
+    /// The lines of the log up to the next one with this text.
+    pub fn lines_to(&self, text: &str) -> Vec<String> {
+        let mut lines: Vec<String> = Vec::new();
+        while !lines.last().is_some_and(|line| line.contains(text)) {
+            let line = self.log.recv_timeout(HANG_TIMEOUT);
+            lines.push(line.unwrap_or_else(|_| panic!("no line with {text:?} in the log")));
+        }
+        lines
+    }
+
+    /// Replaces its operator's file and signals it to reload.
+    pub fn reload(&self, operator_file: &str) {
+        std::fs::write(&self.operator_file, operator_file).unwrap();
+        self.signal("-HUP");
+    }
+
+    /// Sends it a signal, named as `kill` names it.
+    pub fn signal(&self, name: &str) {
+        let pid = self.child.id().to_string();
+        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+    }
+
+    /// Stops it gracefully; its counters.
+    pub fn stop(mut self) -> Counters {
+        self.signal("-TERM");
+        let line = self.wait_for("stopped; counters:");
+        assert!(self.child.wait().unwrap().success());
+        Counters(line)
+    }
+
+    /// A client's connection to it.
+    pub fn connect(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.address).unwrap();
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
+        stream.set_nodelay(true).unwrap();
+        stream
+    }
+
+    /// Sends bytes as they are on a new connection, and reads one response.
+    pub fn raw(&self, bytes: &[u8]) -> Message {
+        let mut stream = self.connect();
+        stream.write_all(bytes).unwrap();
+        Message::read(&mut BufReader::new(stream)).unwrap_or_default()
+    }
+
+    /// Sends a request on the platform's path, and reads the response.
+    pub fn request(&self, id: &str, class: &str) -> Message {
+        self.raw(request(id, class, "hello").as_bytes())
+    }
+
+    /// Sends a JSON-RPC message, and reads the response.
+    pub fn rpc(&self, body: &str) -> Message {
+        self.raw(rpc_request(body).as_bytes())
+    }
+}
+
+impl Drop for RouterProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.operator_file);
+    }
+}
+
+/// Reads a log in a thread of its own, line by line while nobody holds the lock.
+fn read_log(log: ChildStderr, log_reading: Arc<Mutex<()>>) -> mpsc::Receiver<String> {
+    let (sender, lines) = mpsc::channel();
+    thread::spawn(move || {
+        for line in BufReader::new(log).lines().map_while(Result::ok) {
+            let _reading = log_reading.lock();
+            if sender.send(line).is_err() {
+                return;
+            }
+        }
+    });
+    lines
+}
+
+/// The log line with a router's counters.
+pub struct Counters(pub String);
+
+impl Counters {
+    /// The value of a counter; panics if there is none of this name.
+    pub fn get(&self, name: &str) -> u64 {
+        let mut pairs = self.0.split(' ');
+        let value = pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
+        value.unwrap_or_else(|| panic!("no counter {name} in {}", self.0))
+    }
+}
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -1,5 +1,4 @@
 //! The router with the fault shim loaded: system calls fail when the test says so.
-#![allow(dead_code)]
 
 use super::RouterProcess;
 use fault_plan::{CONTROL_VARIABLE, Control};
@@ -8,26 +7,39 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// Descriptors that the router is granted.
+const DESCRIPTORS: usize = 1024;
+
 /// A router under the shim, without any fault yet.
 pub struct ShimmedRouter {
+    /// The router.
     pub router: RouterProcess,
+    /// Says which system calls fail.
     pub control: Control,
     _control_file: ControlFile,
 }
 
-/// The file of a control block, removed in the end.
-pub struct ControlFile(PathBuf);
+/// The file through which the test and the shim share the control block; dropping this removes it.
+struct ControlFile(PathBuf);
 
 impl ShimmedRouter {
+    /// Starts a router with this operator's file.
     pub fn start(operator_file: &str) -> ShimmedRouter {
+        let control_file = ControlFile::new();
+        let control = Control::create(&control_file.0).unwrap();
+        let environment = [("LD_PRELOAD", shim()), (CONTROL_VARIABLE, control_file.0.as_path())];
+        let router = RouterProcess::start_in(DESCRIPTORS, operator_file, &environment);
+        ShimmedRouter { router, control, _control_file: control_file }
+    }
+}
+
+impl ControlFile {
+    /// A path that no other router of this machine uses.
+    fn new() -> ControlFile {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let control_file =
-            std::env::temp_dir().join(format!("fault-control-{}-{number}", std::process::id()));
-        let control = Control::create(&control_file).unwrap();
-        let environment = [("LD_PRELOAD", shim()), (CONTROL_VARIABLE, control_file.as_path())];
-        let router = RouterProcess::start_in(1024, operator_file, &environment);
-        ShimmedRouter { router, control, _control_file: ControlFile(control_file) }
+        let name = format!("fault-control-{}-{number}", std::process::id());
+        ControlFile(std::env::temp_dir().join(name))
     }
 }
 
@@ -37,7 +49,7 @@
     }
 }
 
-/// The shim, built beside the router.
+/// The shim's library, built beside the router.
 fn shim() -> &'static Path {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     SHIM.get_or_init(|| {
--- /dev/null
+++ b/tests/support/tool_server.rs
@@ -0,0 +1,115 @@
+//! A scripted tool server, and the decode worker's side of a tool call.
+
+use super::{Conn, Message, Peer, RouterProcess, operator_file};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::{Arc, Condvar, Mutex};
+
+/// A tool call as a decode worker streams it.
+pub const TOOL_CALL: &str = r#"{"jsonrpc":"2.0","id":"w-1","method":"annex.fetch","params":{"page":1}}"#;
+
+/// A tool server that counts its executions by idempotency key.
+pub struct ToolServer {
+    peer: Peer,
+    executions: Arc<Mutex<HashMap<String, u32>>>,
+}
+
+impl ToolServer {
+    /// Starts a tool server. The tool gives the fields of its response that follow the id; it may block first.
+    pub fn start(tool: impl Fn() -> String + Send + Sync + 'static) -> ToolServer {
+        let executions = Arc::new(Mutex::new(HashMap::new()));
+        let counted = executions.clone();
+        let peer = Peer::start(move |message, conn| {
+            let key = message.header("idempotency-key").unwrap().to_owned();
+            assert!(message.text().contains(&format!(r#""id":"{key}""#)));
+            *counted.lock().unwrap().entry(key.clone()).or_insert(0) += 1;
+            conn.answer("200 OK", "", &format!(r#"{{"jsonrpc":"2.0","id":"{key}",{}}}"#, tool()));
+            true
+        });
+        ToolServer { peer, executions }
+    }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.peer.address
+    }
+
+    /// The number of executions of each key so far.
+    pub fn executions(&self) -> Vec<u32> {
+        self.executions.lock().unwrap().values().copied().collect()
+    }
+}
+
+/// The tool results that decode workers were sent, by the id of the answer's request.
+#[derive(Default)]
+pub struct ToolResults {
+    by_id: Mutex<HashMap<String, String>>,
+    changed: Condvar,
+}
+
+impl ToolResults {
+    /// Keeps a result for the stream that waits for it.
+    pub fn put(&self, id: &str, result: String) {
+        self.by_id.lock().unwrap().insert(id.to_owned(), result);
+        self.changed.notify_all();
+    }
+
+    /// Waits for the result of a request's tool call, and takes it.
+    pub fn take(&self, id: &str) -> String {
+        let by_id = self.by_id.lock().unwrap();
+        let mut by_id = self.changed.wait_while(by_id, |by_id| !by_id.contains_key(id)).unwrap();
+        by_id.remove(id).unwrap()
+    }
+
+    /// Keeps the result that a message carries and acknowledges it; `false` if the message carries none.
+    pub fn accept(&self, message: &Message, conn: &mut Conn) -> bool {
+        let Some(id) = tool_result_id(message) else { return false };
+        self.put(id, message.text());
+        conn.answer("204 No Content", "", "");
+        true
+    }
+}
+
+/// The id of the request whose tool result a message carries, if it carries one.
+pub fn tool_result_id(message: &Message) -> Option<&str> {
+    message.line.split(' ').nth(1)?.strip_prefix("/internal/tool-results/")
+}
+
+/// A decode worker that calls a tool after the first words of its answer, and ends with the tool's result.
+pub fn tool_calling_worker(call: &'static str) -> Peer {
+    let results = ToolResults::default();
+    Peer::start(move |message, conn| {
+        if results.accept(message, conn) {
+            return true;
+        }
+        if message.line.starts_with("POST") {
+            conn.begin_stream();
+            conn.delta("before ");
+            conn.event(call);
+            let result = results.take(message.header("x-request-id").unwrap());
+            conn.delta(&result.replace('"', "'"));
+            conn.end_stream();
+        } else {
+            conn.answer("204 No Content", "", "");
+        }
+        true
+    })
+}
+
+/// Starts a router with these workers and this tool server; `limits` are more keys of the tool server's table.
+pub fn start_router(
+    prefill_worker: SocketAddr,
+    decode_workers: &[SocketAddr],
+    tool_server: SocketAddr,
+    limits: &str,
+) -> RouterProcess {
+    let tools = format!("---[tools]\ndial = \"{tool_server}\"\n{limits}\n");
+    RouterProcess::start(&operator_file(&[prefill_worker], decode_workers, &tools))
+}
+
+/// A JSON-RPC request of this name; `extra` is more of its parameters.
+pub fn completion(name: &str, extra: &str) -> String {
+    format!(
+        r#"{{"jsonrpc":"2.0","id":1,"method":"send","params":{{"request":"{name}","deadline_ms":8000,"messages":[]{extra}}}}}"#
+    )
+}
