--- a/src/frontend/jsonrpc/active_calls.rs
+++ b/src/frontend/jsonrpc/active_calls.rs
@@ -115,3 +115,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -4,6 +4,8 @@
 use serde::Serialize;
 
 /// Why the router answers a client's request with an error.
+///
+/// The `Display` text is the message of the error object, so it is a part of the protocol.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RpcError {
     /// The body is no JSON.
@@ -51,6 +53,7 @@
             RpcError::DuplicateRequest => StatusCode::CONFLICT,
             RpcError::Rejected { .. } => StatusCode::SERVICE_UNAVAILABLE,
             RpcError::Failed | RpcError::StreamBroken => StatusCode::BAD_GATEWAY,
+            // The client has got what it asked for.
             RpcError::Cancelled => StatusCode::OK,
         }
     }
@@ -79,6 +82,8 @@
 }
 
 /// Why the router answers a decode worker's tool call with an error of its own.
+///
+/// The `Display` text is the message of the error object, so it is a part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ToolCallError {
     /// The tool server was never reached: the call did not run, and a repeat may try again.
--- a/src/frontend/jsonrpc/service.rs
+++ b/src/frontend/jsonrpc/service.rs
@@ -17,7 +17,7 @@
 pub struct JsonRpcService {
     /// The path at which clients reach it.
     pub path: String,
-    sessions: Rc<SessionContext>,
+    session_context: Rc<SessionContext>,
 }
 
 impl JsonRpcService {
@@ -33,19 +33,19 @@
         let replay_buffer = ReplayBuffer::new(settings, connect_timeout, counters.clone());
         let active_calls = ActiveCalls::new();
         let call_starter = CallStarter::new(context, active_calls.clone(), seed);
-        let sessions = SessionContext { call_starter, active_calls, replay_buffer, counters };
-        Rc::new(JsonRpcService { path, sessions: Rc::new(sessions) })
+        let session_context = SessionContext { call_starter, active_calls, replay_buffer, counters };
+        Rc::new(JsonRpcService { path, session_context: Rc::new(session_context) })
     }
 
     /// Frees what has expired. Called at intervals, as there may be no tool call that would do so.
     pub fn evict_expired(&self) {
-        self.sessions.replay_buffer.evict_expired();
+        self.session_context.replay_buffer.evict_expired();
     }
 
     /// Answers one HTTP message: a request, a notification or a batch. Dropping the future drops a single request that
     /// has not begun to stream; the requests of a batch run in tasks of their own, and end once they see that the
     /// client has disconnected.
     pub async fn respond(self: Rc<Self>, body: Bytes, client: &Rc<ClientSocket>) -> Response<ResponseBody> {
-        Session::new(self.sessions.clone(), client.clone()).respond(body).await
+        Session::new(self.session_context.clone(), client.clone()).respond(body).await
     }
 }
--- a/src/frontend/jsonrpc/tool_call.rs
+++ b/src/frontend/jsonrpc/tool_call.rs
@@ -109,7 +109,8 @@
     }
 }
 
-/// Sends a line if there is one. Dropping the future before it resolves sends nothing.
+/// Sends a line if there is one. Dropping the future before it resolves sends nothing, so that the line may be sent anew;
+/// the client's timeout starts anew then, too.
 async fn send_if_some(output: &mut AnswerOutput, line: Option<&Vec<u8>>) -> Result<(), RelayError> {
     match line {
         Some(line) => output.line(line.clone()).await,
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -49,6 +49,13 @@
     Possible,
 }
 
+/// A call on its way.
+struct PendingCall<'a> {
+    id: &'a str,
+    body: Bytes,
+    delivery: Cell<Delivery>,
+}
+
 /// Why a call brought no reply from the tool.
 #[derive(Debug, thiserror::Error)]
 enum ExchangeError {
@@ -117,19 +124,19 @@
         body: Bytes,
         mut is_cancelled: watch::Receiver<bool>,
     ) -> ToolOutcome {
-        let delivery = Cell::new(Delivery::Incomplete);
+        let call = PendingCall { id, body, delivery: Cell::new(Delivery::Incomplete) };
         // Not biased: each branch ends the call, and of two that are ready at once either may decide how.
         let result = tokio::select! {
-            result = self.send_with_retries(id, body, &delivery) => result,
+            result = self.send_with_retries(&call) => result,
             () = tokio::time::sleep(self.call_timeout) => Err(ExchangeError::TimedOut(self.call_timeout)),
             _ = is_cancelled.wait_for(|is_cancelled| *is_cancelled) => {
-                return Err(match delivery.get() {
+                return Err(match call.delivery.get() {
                     Delivery::Incomplete => ToolCallError::NotReached,
                     Delivery::Possible => ToolCallError::Cancelled,
                 });
             }
         };
-        result.map_err(|error| match (error, delivery.get()) {
+        result.map_err(|error| match (error, call.delivery.get()) {
             (ExchangeError::ResultTooLong(_), _) => ToolCallError::ResultTooLong,
             (error, Delivery::Incomplete) => {
                 log::warn!("tool call {id}: {error}; it did not run");
@@ -143,17 +150,12 @@
     }
 
     /// Sends a call, again only for as long as it can't have run.
-    async fn send_with_retries(
-        &self,
-        id: &str,
-        body: Bytes,
-        delivery: &Cell<Delivery>,
-    ) -> Result<ToolReply, ExchangeError> {
+    async fn send_with_retries(&self, call: &PendingCall<'_>) -> Result<ToolReply, ExchangeError> {
         let mut attempts = 0;
         loop {
             attempts += 1;
-            let result = self.send(id, body.clone(), delivery).await;
-            let may_retry = delivery.get() == Delivery::Incomplete && attempts < MAX_CONNECT_ATTEMPTS;
+            let result = self.send(call).await;
+            let may_retry = call.delivery.get() == Delivery::Incomplete && attempts < MAX_CONNECT_ATTEMPTS;
             if result.is_ok() || !may_retry {
                 return result;
             }
@@ -162,42 +164,34 @@
     }
 
     /// One attempt, on one connection; the connection is used again once the response has been read in full.
-    async fn send(
-        &self,
-        id: &str,
-        body: Bytes,
-        delivery: &Cell<Delivery>,
-    ) -> Result<ToolReply, ExchangeError> {
+    async fn send(&self, call: &PendingCall<'_>) -> Result<ToolReply, ExchangeError> {
         let target = Target { worker: WorkerId(TOOL_SERVER.into()), address: self.address };
         let mut connection = self.pool.clone().ready().await?.call(target.clone()).await?;
-        let response = self.send_on(&mut connection, id, body, delivery).await?;
+        let response = self.send_on(&mut connection, call).await?;
         let (head, body) = response.into_parts();
         let body = self.read_body(body).await?;
         self.pool.put_back(&target, connection);
-        decode_reply(id, head.status, &body)
+        decode_reply(call.id, head.status, &body)
     }
 
     async fn send_on(
         &self,
         connection: &mut Connection,
-        id: &str,
-        body: Bytes,
-        delivery: &Cell<Delivery>,
+        call: &PendingCall<'_>,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        let length = body.len();
         let request = Request::post(&self.path)
             .header("host", TOOL_SERVER)
             .header("content-type", "application/json")
-            .header("idempotency-key", id)
-            .body(Full::new(body))?;
+            .header("idempotency-key", call.id)
+            .body(Full::new(call.body.clone()))?;
         let write_progress = connection.meter();
         self.counters.tool_executions.increment();
         // Should this future be dropped half-way, nobody can ask how much was written: the tool may have run.
-        delivery.set(Delivery::Possible);
-        let response = connection.send(request, length).await;
+        call.delivery.set(Delivery::Possible);
+        let response = connection.send(request, call.body.len()).await;
         // A response says that the tool server had the request, however much of it was written.
         if response.is_err() && !write_progress.complete() {
-            delivery.set(Delivery::Incomplete);
+            call.delivery.set(Delivery::Incomplete);
         }
         response.map_err(ExchangeError::Send)
     }
--- a/src/frontend/jsonrpc/worker_event.rs
+++ b/src/frontend/jsonrpc/worker_event.rs
@@ -95,3 +95,6 @@
         Ok(WorkerEvent::ToolCall(request))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,4 +1,5 @@
-//! The router between scripted workers on loopback sockets, one test for each fault that was found or is guarded against.
+//! The router between scripted workers on loopback sockets: each test stands for a fault that was found or is guarded
+//! against.
 
 mod support;
 
