--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -87,9 +87,7 @@
             _ = active_call.interrupted() => return Err(RpcError::Cancelled),
         };
         match response {
-            FinalResponse::Rejected { retry_after } => {
-                Err(RpcError::Rejected { retry_after: retry_after.map(|micros| micros as f64 / 1e6) })
-            }
+            FinalResponse::Rejected { retry_after } => Err(RpcError::rejected(retry_after)),
             FinalResponse::Failed => Err(RpcError::Failed),
             FinalResponse::Stream(stream) => {
                 active_call.mark_streaming();
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -1,8 +1,12 @@
 //! The errors that clients and decode workers receive as JSON-RPC error objects.
 
+use crate::interface::Micros;
 use hyper::StatusCode;
 use serde::Serialize;
 
+/// Error objects give times in seconds, the driver in microseconds.
+const MICROS_PER_SECOND: f64 = 1e6;
+
 /// Why the router answers a client's request with an error.
 ///
 /// The `Display` text is the message of the error object, so it is a part of the protocol.
@@ -44,6 +48,21 @@
 }
 
 impl RpcError {
+    /// A rejection, with the driver's advice when to retry.
+    pub fn rejected(retry_after: Option<Micros>) -> Self {
+        RpcError::Rejected { retry_after: retry_after.map(|micros| micros as f64 / MICROS_PER_SECOND) }
+    }
+
+    /// The advice when to retry, as the error object gives it.
+    pub fn retry_after(&self) -> Option<Micros> {
+        match self {
+            RpcError::Rejected { retry_after } => {
+                retry_after.map(|seconds| (seconds * MICROS_PER_SECOND) as Micros)
+            }
+            _ => None,
+        }
+    }
+
     /// The HTTP status that tells intermediaries the same.
     pub fn status(&self) -> StatusCode {
         match self {
--- a/src/frontend/jsonrpc/session.rs
+++ b/src/frontend/jsonrpc/session.rs
@@ -9,6 +9,7 @@
 use super::relay::AnswerRelay;
 use super::replay_buffer::ReplayBuffer;
 use crate::frontend::platform::{ResponseBody, refusal};
+use crate::interface::Micros;
 use crate::net::server::client_socket::ClientSocket;
 use crate::runtime::counters::Counters;
 use bytes::Bytes;
@@ -159,17 +160,16 @@
             self.context.counters.requests_malformed.increment();
         }
         let mut response = json_response(status, encode_rpc_error(id, &error));
-        if let RpcError::Rejected { retry_after: Some(seconds) } = error {
-            copy_retry_after(seconds, &mut response);
+        if let Some(retry_after) = error.retry_after() {
+            set_retry_after(retry_after, &mut response);
         }
         response
     }
 }
 
-/// Gives a response the same advice in its header as in its error object, in the platform's form.
-fn copy_retry_after(seconds: f64, response: &mut Response<ResponseBody>) {
-    let micros = (seconds * 1e6) as u64;
-    if let Some(value) = refusal(Some(micros)).headers_mut().remove(RETRY_AFTER) {
+/// Gives a response the advice when to retry in its header too, in the same form as on the platform's path.
+fn set_retry_after(retry_after: Micros, response: &mut Response<ResponseBody>) {
+    if let Some(value) = refusal(Some(retry_after)).headers_mut().remove(RETRY_AFTER) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
 }
