--- a/src/net/upstream/client.rs
+++ b/src/net/upstream/client.rs
@@ -548,12 +548,12 @@
         tokio::task::spawn_local(self.clone().attempt(attempt));
     }
 
-    fn release(&self, call: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>) {
+    fn release_cache(&self, call: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>) {
         let hosts = self.clone();
         tokio::task::spawn_local(async move { hosts.release_now(&call, &releasing).await });
     }
 
-    fn hold(&self, request: RequestId, call: Rc<ForwardedRequest>, worker: WorkerId) {
+    fn reserve_slot(&self, request: RequestId, call: Rc<ForwardedRequest>, worker: WorkerId) {
         debug_assert!(is_plain_id(&call.id));
         // The drain rule holds for places as for sends.
         if !self.directory.is_ready(&worker) {
@@ -574,7 +574,7 @@
         });
     }
 
-    fn probe(&self, worker: WorkerId) {
+    fn check_health(&self, worker: WorkerId) {
         let mut hosts = self.clone();
         tokio::task::spawn_local(async move {
             let path = if hosts.reports == LoadReporting::None { "/healthz" } else { "/load" };
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -287,7 +287,7 @@
         if over.held.is_held() {
             let detail = "something is held for a request that is over";
             self.counters.violations.note(Rule::NothingLeftBehind, &over.call.id, detail);
-            self.outbound.release(over.call, Rc::default());
+            self.outbound.release_cache(over.call, Rc::default());
         }
     }
 
@@ -327,7 +327,7 @@
             Action::ReleaseCache { request } => self.release(request),
             Action::ReserveSlot { request, worker } => {
                 if let Some(open) = self.open.get(&request) {
-                    self.outbound.hold(request, open.call.clone(), worker);
+                    self.outbound.reserve_slot(request, open.call.clone(), worker);
                 }
             }
             Action::MigrateStream { request } => {
@@ -337,7 +337,7 @@
                 }
             }
             Action::SetTimer { at, timer } => self.due.push(Reverse((at, Due::Timer(timer)))),
-            Action::CheckHealth { worker } => self.outbound.probe(worker),
+            Action::CheckHealth { worker } => self.outbound.check_health(worker),
             Action::CloseIdleConnections { worker } => self.outbound.close_idle_connections(&worker),
             // The client side watches discovery from its start on, and begins anew by itself what breaks: asking
             // once more would only cut off the watch that is about to be answered.
@@ -453,7 +453,7 @@
         let Some(open) = self.open.get_mut(&request) else { return };
         let releasing = Rc::new(ReleaseProgress::of(open.held.holder()));
         self.counters.cache_releases.increment();
-        self.outbound.release(open.call.clone(), releasing.clone());
+        self.outbound.release_cache(open.call.clone(), releasing.clone());
         open.releasing = Some(releasing);
     }
 }
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -86,11 +86,11 @@
     /// Sends a request. Answered by one [`super::DriverInput::AttemptEnded`].
     fn send(&self, attempt: Attempt);
     /// Lets go of all that is held for a request, at whichever worker; stops trying when told.
-    fn release(&self, call: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>);
+    fn release_cache(&self, call: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>);
     /// Asks a writer to hold a place. Answered by [`super::DriverInput::SlotReserved`] if the writer can be heard.
-    fn hold(&self, request: RequestId, call: Rc<ForwardedRequest>, worker: WorkerId);
+    fn reserve_slot(&self, request: RequestId, call: Rc<ForwardedRequest>, worker: WorkerId);
     /// Probes a worker. Answered by [`super::DriverInput::HealthChecked`].
-    fn probe(&self, worker: WorkerId);
+    fn check_health(&self, worker: WorkerId);
     /// Closes idle connections.
     fn close_idle_connections(&self, worker: &WorkerId);
     /// Asks discovery once for the whole list.
--- a/src/runtime/tests.rs
+++ b/src/runtime/tests.rs
@@ -7,9 +7,9 @@
 
 impl Outbound for Nowhere {
     fn send(&self, _: Attempt) {}
-    fn release(&self, _: Rc<ForwardedRequest>, _: Rc<ReleaseProgress>) {}
-    fn hold(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
-    fn probe(&self, _: WorkerId) {}
+    fn release_cache(&self, _: Rc<ForwardedRequest>, _: Rc<ReleaseProgress>) {}
+    fn reserve_slot(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
+    fn check_health(&self, _: WorkerId) {}
     fn close_idle_connections(&self, _: &WorkerId) {}
     fn poll_endpoints(&self) {}
 }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -375,7 +375,7 @@
         let full = FullQueue::start();
         let client = Client::start(&[(WORKER, full.address)], 1);
         let (releasing, released) = (Rc::<ReleaseProgress>::default(), Rc::new(call("id-1")));
-        client.hosts.release(released.clone(), releasing.clone());
+        client.hosts.release_cache(released.clone(), releasing.clone());
         // Its call holds the only socket while it connects.
         while client.hosts.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -20,11 +20,11 @@
     fn send(&self, attempt: Attempt) {
         self.attempts.borrow_mut().push(attempt);
     }
-    fn release(&self, _: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>) {
+    fn release_cache(&self, _: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>) {
         self.releases.borrow_mut().push(releasing);
     }
-    fn hold(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
-    fn probe(&self, _: WorkerId) {}
+    fn reserve_slot(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
+    fn check_health(&self, _: WorkerId) {}
     fn close_idle_connections(&self, _: &WorkerId) {}
     fn poll_endpoints(&self) {}
 }
