--- a/src/net/failure.rs
+++ b/src/net/failure.rs
@@ -1,42 +1,43 @@
-//! What failed system calls say, and of whom: of one connection, of this machine, or of the other side. Every error number
-//! that accept(2), connect(2), recv(2) and send(2) document is decided on here and nowhere else.
+//! Classification of failed system calls: whether an error concerns one connection, this machine or the peer.
+//!
+//! Every error number that accept(2), connect(2), recv(2) and send(2) document is classified here and nowhere else.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Of whom a failed accept(2) speaks.
+/// What a failed accept(2) concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// Of a connection that was gone before it was accepted, or of a signal. The next one may be there.
+    /// A connection that was gone before it was accepted, or a signal. The next accept may succeed at once.
     Connection,
-    /// Of this process: it has no descriptor left. One of its own has to go.
+    /// This process: it has no file descriptor left and has to close one of its own.
     OwnDescriptors,
-    /// Of this machine: it is short of something for a moment. Nothing here can be done about it.
+    /// This machine: it is short of a resource for a moment. This process can only wait.
     Machine,
 }
 
-/// Decides on a failed accept(2).
+/// Classifies the error of a failed accept(2).
 pub fn accept_failure(error: &io::Error) -> AcceptFailure {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE) => AcceptFailure::OwnDescriptors,
         Some(Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::Machine,
-        // Linux also reports here what the network says of the connection that would have been accepted.
+        // Linux also reports pending network errors of the connection that would have been accepted.
         _ => AcceptFailure::Connection,
     }
 }
 
-/// Of whom a failed socket(2) or connect(2) speaks.
+/// What a failed socket(2) or connect(2) concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// Of a signal: the call is made again at once.
+    /// A signal: the call is repeated at once.
     Interrupted,
-    /// Of this machine, or of its way into the network: it may be over in a moment, and says nothing of the other side.
+    /// This machine or its network interface: the condition may pass in a moment, and says nothing about the peer.
     Machine,
-    /// Of the other side, or of the way to it.
+    /// The peer, or the network path to it.
     OtherSide,
 }
 
-/// Decides on a failed socket(2) or connect(2).
+/// Classifies the error of a failed socket(2) or connect(2).
 pub fn connect_failure(error: &io::Error) -> ConnectFailure {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => ConnectFailure::Interrupted,
@@ -55,20 +56,20 @@
     }
 }
 
-/// Of whom a failed read or write of a connection speaks.
+/// What a failed read or write on a connection concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferFailure {
-    /// Of a signal: the call is made again at once.
+    /// A signal: the call is repeated at once.
     Interrupted,
-    /// Of nobody: there is nothing to read, or no room to write.
+    /// Nothing is wrong: there is nothing to read, or no buffer space to write to.
     NotReady,
-    /// Of this machine: it is short of memory for a moment, and the call is made again after one.
+    /// This machine: it is short of memory for a moment, and the call is repeated after a pause.
     Machine,
-    /// Of the connection, which is of no more use.
+    /// The connection, which can't be used any more.
     Connection,
 }
 
-/// Decides on a failed recv(2) or send(2).
+/// Classifies the error of a failed recv(2) or send(2).
 pub fn transfer_failure(error: &io::Error) -> TransferFailure {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => TransferFailure::Interrupted,
--- a/src/net/failure/tests.rs
+++ b/src/net/failure/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions on error numbers.
+//! Tests of the classification of error numbers.
 
 use super::*;
 use rstest::rstest;
@@ -17,8 +17,8 @@
 #[case::file_table(Errno::NFILE, AcceptFailure::Machine)]
 #[case::buffers(Errno::NOBUFS, AcceptFailure::Machine)]
 #[case::memory(Errno::NOMEM, AcceptFailure::Machine)]
-fn of_an_accept(#[case] errno: Errno, #[case] wanted: AcceptFailure) {
-    assert_eq!(accept_failure(&error(errno)), wanted);
+fn accept_errors_are_classified(#[case] errno: Errno, #[case] expected: AcceptFailure) {
+    assert_eq!(accept_failure(&error(errno)), expected);
 }
 
 #[rstest]
@@ -31,8 +31,8 @@
 #[case::refused(Errno::CONNREFUSED, ConnectFailure::OtherSide)]
 #[case::timed_out(Errno::TIMEDOUT, ConnectFailure::OtherSide)]
 #[case::host_unreachable(Errno::HOSTUNREACH, ConnectFailure::OtherSide)]
-fn of_a_connect(#[case] errno: Errno, #[case] wanted: ConnectFailure) {
-    assert_eq!(connect_failure(&error(errno)), wanted);
+fn connect_errors_are_classified(#[case] errno: Errno, #[case] expected: ConnectFailure) {
+    assert_eq!(connect_failure(&error(errno)), expected);
 }
 
 #[rstest]
@@ -44,6 +44,6 @@
 #[case::pipe(Errno::PIPE, TransferFailure::Connection)]
 #[case::timed_out(Errno::TIMEDOUT, TransferFailure::Connection)]
 #[case::host_unreachable(Errno::HOSTUNREACH, TransferFailure::Connection)]
-fn of_a_transfer(#[case] errno: Errno, #[case] wanted: TransferFailure) {
-    assert_eq!(transfer_failure(&error(errno)), wanted);
+fn transfer_errors_are_classified(#[case] errno: Errno, #[case] expected: TransferFailure) {
+    assert_eq!(transfer_failure(&error(errno)), expected);
 }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,7 +1,8 @@
-//! A socket that hyper reads and writes while its owner still sees it.
+//! Sockets that hyper reads and writes while their owner still has access to the stream.
 //!
-//! Reads and writes go by what the system says, not by what the runtime concludes: an interrupted call is made again, one
-//! for which the system lacks memory a moment later, and a short read is no sign that nothing more has come.
+//! Reads and writes follow the results of the system calls, not the readiness that the async runtime caches: an
+//! interrupted call is repeated, a call that failed for lack of memory is repeated after a pause, and a short read is not
+//! taken as a sign that nothing more has arrived.
 
 use super::failure::{ConnectFailure, TransferFailure, connect_failure, transfer_failure};
 use bytes::BufMut;
@@ -16,42 +17,50 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, Sleep};
 
-/// Before a call is made again that failed for want of something at this machine.
-const MACHINE_PAUSE: Duration = Duration::from_millis(2);
-/// The longest pause between two tries to connect.
-const MAX_MACHINE_PAUSE: Duration = Duration::from_millis(20);
-/// A connection on which the machine has lacked something for this long is given up.
-const MACHINE_PATIENCE: Duration = Duration::from_secs(2);
+/// The pause before a call is repeated that failed for lack of a resource of this machine.
+const LOCAL_RETRY_PAUSE: Duration = Duration::from_millis(2);
+/// The longest pause between two attempts to connect. Pauses double up to it, from [`LOCAL_RETRY_PAUSE`] on.
+const MAX_CONNECT_PAUSE: Duration = Duration::from_millis(20);
+/// A connection that has lacked a resource of this machine for this long is given up.
+const LOCAL_SHORTAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes a system call again for as long as it is interrupted.
+/// Repeats a system call for as long as it is interrupted by signals.
+///
+/// # Errors
+/// Any other error of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if transfer_failure(&error) == TransferFailure::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// Listens with room for so many connections that wait to be accepted. The runtime's own default is 128: what came behind
-/// them in a burst, or while the process was held up, was turned away by the system and tried again a second later.
+/// Listens with a queue for `backlog` connections that wait to be accepted.
+///
+/// The runtime's own default is 128. Connections beyond it, in a burst or while the process was paused, were rejected by
+/// the kernel and came back with the client's retransmission a second later.
 ///
 /// # Errors
-/// The address can't be listened on.
-pub fn listen(address: SocketAddr, waiting: usize) -> io::Result<TcpListener> {
+/// The system can't listen on the address.
+pub fn listen(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A process that starts anew takes its address from connections that the last one left behind.
+    // A restarted process must get its address back while connections of the previous one are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(u32::try_from(waiting).unwrap_or(u32::MAX))
+    socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
 }
 
-/// Connects; what fails at this machine is tried again until `client_timeout`.
+/// Connects. Failures of this machine are retried with backoff until `deadline`; the deadline does not interrupt a
+/// connect that is in progress.
+///
+/// Dropping the future abandons the connect.
 ///
 /// # Errors
-/// What the other side said, or this machine last.
-pub async fn connect(address: SocketAddr, client_timeout: Instant) -> io::Result<TcpStream> {
-    let mut pause = MACHINE_PAUSE;
+/// The peer's failure, or the last failure of this machine.
+pub async fn connect(address: SocketAddr, deadline: Instant) -> io::Result<TcpStream> {
+    let mut pause = LOCAL_RETRY_PAUSE;
     loop {
         let error = match TcpStream::connect(address).await {
             Ok(stream) => return Ok(stream),
@@ -60,38 +69,67 @@
         match connect_failure(&error) {
             ConnectFailure::OtherSide => return Err(error),
             ConnectFailure::Interrupted => {}
-            ConnectFailure::Machine if Instant::now() + pause >= client_timeout => return Err(error),
+            ConnectFailure::Machine if Instant::now() + pause >= deadline => return Err(error),
             ConnectFailure::Machine => {
                 tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_MACHINE_PAUSE);
+                pause = (pause * 2).min(MAX_CONNECT_PAUSE);
             }
         }
     }
 }
 
-/// One of the owners of a socket, which is closed with the last of them.
-pub struct Socket {
+/// Observes the writes of a [`Socket`], and may refuse them.
+pub trait WriteMonitor {
+    /// Called directly before each write, in the same poll: no other task runs between this call and the write.
+    ///
+    /// # Errors
+    /// The write is not made, and fails with this error.
+    fn before_write(&self, stream: &TcpStream) -> io::Result<()>;
+
+    /// Called after a write of which the kernel has taken the first `written` bytes of `buffers`.
+    fn after_write(&self, buffers: &[IoSlice<'_>], written: usize);
+}
+
+/// The monitor of a socket whose writes are not observed.
+pub struct Unmonitored;
+
+impl WriteMonitor for Unmonitored {
+    fn before_write(&self, _: &TcpStream) -> io::Result<()> {
+        Ok(())
+    }
+
+    fn after_write(&self, _: &[IoSlice<'_>], _: usize) {}
+}
+
+/// One of several owners of a TCP stream, which is closed when the last of them is dropped.
+pub struct Socket<M = Unmonitored> {
     stream: Rc<TcpStream>,
-    shortage: Shortage,
+    monitor: M,
+    shortage: LocalShortage,
 }
 
 impl Socket {
-    /// An owner of this socket.
+    /// An owner of this stream whose writes are not observed.
     pub fn new(stream: Rc<TcpStream>) -> Self {
-        Socket { stream, shortage: Shortage::default() }
+        Socket::monitored(stream, Unmonitored)
     }
+}
 
-    /// The stream itself.
-    pub fn stream(&self) -> &TcpStream {
-        &self.stream
+impl<M> Socket<M> {
+    /// An owner of this stream whose writes pass through `monitor`.
+    pub fn monitored(stream: Rc<TcpStream>, monitor: M) -> Self {
+        Socket { stream, monitor, shortage: LocalShortage::default() }
     }
 
-    /// Ends the sending side.
+    /// Shuts down the sending side.
+    ///
+    /// # Errors
+    /// The system call failed: the connection is closed already.
     pub fn end(&self) -> io::Result<()> {
         SockRef::from(&*self.stream).shutdown(Shutdown::Write)
     }
 
-    /// Tries a call until it succeeds or the connection is of no more use.
+    /// Repeats a call until it succeeds or the connection can't be used any more.
     fn poll_transfer<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -102,15 +140,16 @@
         loop {
             ready!(poll_ready(&self.stream, cx))?;
             let error = match call(&self.stream) {
-                Ok(done) => {
+                Ok(value) => {
                     self.shortage.end();
-                    return Poll::Ready(Ok(done));
+                    return Poll::Ready(Ok(value));
                 }
                 Err(error) => error,
             };
             match transfer_failure(&error) {
                 TransferFailure::Interrupted | TransferFailure::NotReady => {}
-                TransferFailure::Machine if self.shortage.begin_pause() => {
+                TransferFailure::Machine if self.shortage.duration() < LOCAL_SHORTAGE_TIMEOUT => {
+                    self.shortage.begin_pause();
                     ready!(self.shortage.poll_pause(cx));
                 }
                 TransferFailure::Machine | TransferFailure::Connection => return Poll::Ready(Err(error)),
@@ -118,7 +157,7 @@
         }
     }
 
-    /// Reads what has come, up to `limit` bytes.
+    /// Reads what has arrived, up to `limit` bytes.
     pub fn poll_read_up_to(
         &mut self,
         cx: &mut Context<'_>,
@@ -130,24 +169,24 @@
     }
 }
 
-/// How long this machine has lacked something for a connection.
+/// How long this machine has lacked a resource for a connection, and the pause before the next call.
 #[derive(Default)]
-struct Shortage {
+struct LocalShortage {
     since: Option<Instant>,
     pause: Option<Pin<Box<Sleep>>>,
 }
 
-impl Shortage {
-    /// Begins a pause, unless it has lasted for too long.
-    fn begin_pause(&mut self) -> bool {
-        let since = *self.since.get_or_insert_with(Instant::now);
-        if since.elapsed() >= MACHINE_PATIENCE {
-            return false;
-        }
-        self.pause = Some(Box::pin(tokio::time::sleep(MACHINE_PAUSE)));
-        true
+impl LocalShortage {
+    /// How long the shortage has lasted. It begins with the first call of this method after [`end`](Self::end).
+    fn duration(&mut self) -> Duration {
+        self.since.get_or_insert_with(Instant::now).elapsed()
+    }
+
+    fn begin_pause(&mut self) {
+        self.pause = Some(Box::pin(tokio::time::sleep(LOCAL_RETRY_PAUSE)));
     }
 
+    /// Waits for the end of the pause, if there is one.
     fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if let Some(pause) = &mut self.pause {
             ready!(pause.as_mut().poll(cx));
@@ -161,7 +200,7 @@
     }
 }
 
-impl AsyncRead for Socket {
+impl<M: Unpin> AsyncRead for Socket<M> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -172,7 +211,7 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl<M: WriteMonitor + Unpin> AsyncWrite for Socket<M> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(buf)])
     }
@@ -182,7 +221,11 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_transfer(cx, TcpStream::poll_write_ready, |stream| stream.try_write_vectored(bufs))
+        self.monitor.before_write(&self.stream)?;
+        let write = |stream: &TcpStream| stream.try_write_vectored(bufs);
+        let written = ready!(self.poll_transfer(cx, TcpStream::poll_write_ready, write))?;
+        self.monitor.after_write(bufs, written);
+        Poll::Ready(Ok(written))
     }
 
     fn is_write_vectored(&self) -> bool {
--- /dev/null
+++ b/src/net/upstream/forward.rs
@@ -0,0 +1,26 @@
+//! The form in which a client's request is forwarded to workers.
+
+use crate::interface::Micros;
+use crate::net::upstream::call::WORKER_HOST;
+use crate::runtime::exchange::ForwardedRequest;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::Request;
+use hyper::header::HeaderValue;
+
+/// The request as a worker receives it, with the time that remains until its deadline.
+///
+/// # Errors
+/// The request's target or id can't be written in HTTP.
+pub(super) fn forward_request(
+    forwarded: &ForwardedRequest,
+    remaining: Micros,
+) -> hyper::http::Result<Request<Full<Bytes>>> {
+    let mut request = Request::post(&forwarded.target).body(Full::new(forwarded.body.clone()))?;
+    let headers = request.headers_mut();
+    headers.clone_from(&forwarded.headers);
+    headers.insert("host", HeaderValue::from_static(WORKER_HOST));
+    headers.insert("x-request-id", HeaderValue::from_str(&forwarded.id)?);
+    headers.insert("x-deadline", HeaderValue::from_str(&format!("{remaining}u"))?);
+    Ok(request)
+}
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,5 +1,23 @@
-//! Connections to workers: the pool, attempts at requests, and response streams.
+//! Connections to workers: the connection pool, attempts at requests, response streams, and the calls around them.
+//!
+//! [`client::UpstreamClient`] is the entry point. An attempt takes a connection from the [`pool`], sends its request
+//! under a write guard, reads the response, and relays it to the client if it is a stream. Whether a request may have
+//! run depends on whether its last byte was written, which [`write_progress`] observes at the socket.
 
+mod attempt;
+mod call;
 pub mod client;
-pub mod events;
+mod completion;
+pub mod connection;
+pub mod event_stream;
+mod forward;
+mod health;
+mod load_report;
 pub mod pool;
+mod release;
+mod response;
+mod send_guard;
+mod slot;
+mod stream;
+mod stream_tail;
+pub mod write_progress;
--- /dev/null
+++ b/src/net/upstream/send_guard.rs
@@ -0,0 +1,77 @@
+//! The conditions under which an attempt may begin to be written and go on.
+//!
+//! An attempt was decided on before its release was awaited and its connection made. Since then the worker may have been
+//! reported as draining, the client may have left, and time has passed. So the conditions are checked again directly
+//! before each write.
+
+use crate::interface::{Micros, Outcome, WorkerId};
+use crate::net::discovery::Directory;
+use crate::net::upstream::client::UpstreamClient;
+use crate::net::upstream::write_progress::WriteGuard;
+use crate::rules::send::{AttemptFacts, Withheld, may_write};
+use crate::runtime::Attempt;
+use crate::runtime::exchange::{ClientConnection, RequestState};
+use std::rc::Rc;
+
+/// What has to hold while a request is written.
+struct SendConditions {
+    state: RequestState,
+    client: ClientConnection,
+    until: Micros,
+    begin_before: Option<Micros>,
+    worker: WorkerId,
+    directory: Rc<Directory>,
+}
+
+impl SendConditions {
+    fn new(attempt: &Attempt, directory: &Rc<Directory>) -> Self {
+        SendConditions {
+            state: attempt.state.clone(),
+            client: attempt.forwarded.client.clone(),
+            until: attempt.until,
+            begin_before: attempt.begin_before,
+            worker: attempt.worker.clone(),
+            directory: directory.clone(),
+        }
+    }
+
+    fn check(&self, now: Micros) -> Result<(), Withheld> {
+        may_write(&AttemptFacts {
+            is_open: self.state.is_open(),
+            client_left: self.client.has_left(),
+            now,
+            until: self.until,
+            begin_before: self.begin_before,
+            worker_is_ready: self.directory.is_ready(&self.worker),
+        })
+    }
+}
+
+impl UpstreamClient {
+    /// Whether an attempt may begin at this moment.
+    ///
+    /// # Errors
+    /// The outcome of an attempt that may not.
+    pub fn may_begin(&self, attempt: &Attempt, now: Micros) -> Result<(), Outcome> {
+        SendConditions::new(attempt, &self.directory).check(now).map_err(Withheld::outcome)
+    }
+
+    /// The check of an attempt before its first byte and before each further write, if the worker takes the request in
+    /// several parts. A worker begins with the last byte, so a request may be withheld until then.
+    pub(super) fn write_guard(&self, attempt: &Attempt) -> WriteGuard {
+        let conditions = SendConditions::new(attempt, &self.directory);
+        let (clock, counters, begun) = (self.driver.clock, self.counters.clone(), attempt.begun.clone());
+        let (request, index) = (attempt.forwarded.id.clone(), attempt.attempt);
+        Box::new(move || {
+            conditions.check(clock.now()).map_err(|withheld| {
+                log::debug!("request {request}: attempt {} is withheld: {withheld}", index.0);
+                // A request that was written in part has not run: the worker never gets its last byte.
+                if begun.get() { Outcome::ConnectFailed } else { withheld.outcome() }
+            })?;
+            if !begun.replace(true) {
+                counters.attempts_sent.increment();
+            }
+            Ok(())
+        })
+    }
+}
--- /dev/null
+++ b/src/net/upstream/slot.rs
@@ -0,0 +1,39 @@
+//! Reservations of slots at decode workers.
+
+use crate::interface::{RequestId, WorkerId};
+use crate::net::is_plain_id;
+use crate::net::upstream::call::{UnaryCall, UnaryResponse};
+use crate::net::upstream::client::UpstreamClient;
+use crate::runtime::DriverInput;
+use crate::runtime::exchange::ForwardedRequest;
+use hyper::{Method, StatusCode};
+use tower::Service;
+
+/// The path of all that workers hold for a request: its reserved slot and its KV cache.
+pub(super) fn reservation_path(request: &ForwardedRequest) -> String {
+    format!("/internal/reservations/{}", request.id)
+}
+
+/// Reserves a slot at a decode worker in a task of its own, which submits the worker's answer to the driver. Without an
+/// answer nothing is submitted.
+pub(super) fn reserve_slot(
+    client: &UpstreamClient,
+    request: RequestId,
+    forwarded: &ForwardedRequest,
+    worker: WorkerId,
+) {
+    debug_assert!(is_plain_id(&forwarded.id));
+    // A draining worker gets no new reservations, just as it gets no new requests.
+    if !client.directory.is_ready(&worker) {
+        return;
+    }
+    let call = UnaryCall::new(worker.clone(), Method::POST, &reservation_path(forwarded));
+    let (mut client, Ok(call)) = (client.clone(), call) else { return };
+    tokio::task::spawn_local(async move {
+        let Ok(UnaryResponse { status, .. }) = client.call(call).await else { return };
+        if let StatusCode::OK | StatusCode::CONFLICT = status {
+            let reserved = status == StatusCode::OK;
+            client.driver.submit(DriverInput::SlotReserved { request, worker, reserved });
+        }
+    });
+}
--- /dev/null
+++ b/src/net/upstream/stream_tail.rs
@@ -0,0 +1,56 @@
+//! The last bytes of a stream, which tell whether it is complete and what the worker's cache held.
+
+use serde::Deserialize;
+
+/// Bytes at the end of a stream in which the usage report is looked for.
+const TAIL_BYTES: usize = 512;
+
+/// The event with the usage report, as far as it is read.
+#[derive(Deserialize)]
+struct UsageEvent {
+    usage: Usage,
+}
+
+#[derive(Deserialize)]
+struct Usage {
+    prompt_tokens_details: PromptTokensDetails,
+}
+
+#[derive(Deserialize)]
+struct PromptTokensDetails {
+    cached_tokens: f64,
+}
+
+/// The last [`TAIL_BYTES`] of a stream.
+pub(super) struct StreamTail(Vec<u8>);
+
+impl StreamTail {
+    /// The tail of a stream that has not begun.
+    pub fn new() -> Self {
+        StreamTail(Vec::with_capacity(2 * TAIL_BYTES))
+    }
+
+    /// Adds bytes to the end, and forgets those that are not among the last any more.
+    pub fn push(&mut self, data: &[u8]) {
+        if data.len() >= TAIL_BYTES {
+            self.0.clear();
+        }
+        self.0.extend_from_slice(&data[data.len().saturating_sub(TAIL_BYTES)..]);
+        if self.0.len() > TAIL_BYTES {
+            self.0.drain(..self.0.len() - TAIL_BYTES);
+        }
+    }
+
+    /// Whether the stream ends with the event that says that it is complete.
+    pub fn ends_with_done(&self) -> bool {
+        self.0.trim_ascii_end().ends_with(b"data: [DONE]")
+    }
+
+    /// The cached prompt tokens that the last events report; none if they don't.
+    pub fn cached_tokens(&self) -> u64 {
+        let text = String::from_utf8_lossy(&self.0);
+        let events = text.lines().rev().filter_map(|line| line.strip_prefix("data: "));
+        let mut reports = events.filter_map(|event| serde_json::from_str::<UsageEvent>(event).ok());
+        reports.next().map_or(0, |report| report.usage.prompt_tokens_details.cached_tokens as u64)
+    }
+}
