--- /dev/null
+++ b/tests/attempts/harness.rs
@@ -0,0 +1,160 @@
+//! An upstream client under test, the driver's end of it, and scripted workers.
+
+use crate::support::{Conn, Message, Peer};
+use llm_router::interface::*;
+use llm_router::net::discovery::{Directory, EndpointUpdate};
+use llm_router::net::upstream::client::UpstreamClient;
+use llm_router::net::upstream::pool::{Pool, PoolLimits};
+use llm_router::runtime::counters::Counters;
+use llm_router::runtime::exchange::{ClientConnection, ForwardedRequest, RequestState};
+use llm_router::runtime::{Attempt, Clock, DriverHandle, DriverInput, Outbound};
+use std::future::poll_fn;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::{Mutex, mpsc};
+use std::task::Poll;
+use std::time::Duration;
+use tokio::sync::{mpsc as inputs, oneshot};
+
+pub const SECOND: Micros = 1_000_000;
+/// The name of the only worker.
+pub const WORKER: &str = "a";
+/// Turns of the async runtime within which everything has happened that can.
+pub const MANY_TURNS: usize = 100_000;
+
+/// An upstream client, with the inputs that it submits to the driver.
+pub struct UpstreamHarness {
+    pub client: UpstreamClient,
+    pub inputs: inputs::UnboundedReceiver<DriverInput>,
+    /// Cancels the latest attempt when dropped.
+    pub cancel: Option<oneshot::Sender<()>>,
+}
+
+impl UpstreamHarness {
+    /// A client that knows these workers and may open this many connections.
+    pub fn start(workers: &[(&str, SocketAddr)], sockets: usize) -> UpstreamHarness {
+        let (driver, inputs) = DriverHandle::channel(Clock::start());
+        let directory = Rc::<Directory>::default();
+        directory.apply(&EndpointUpdate {
+            seq: 1,
+            whole: true,
+            entries: workers.iter().map(|(worker, address)| (endpoint(worker), Some(*address))).collect(),
+        });
+        let counters = Rc::<Counters>::default();
+        // No test lasts for as long as this, so none of its connections is reused.
+        let timeout = Duration::from_secs(10);
+        let limits = PoolLimits {
+            sockets,
+            connect_timeout: timeout,
+            idle_timeout: 2 * timeout,
+            trailing_bytes_wait: timeout,
+        };
+        let client = UpstreamClient {
+            directory,
+            pool: Pool::new(limits, counters.clone()),
+            driver,
+            load_reporting: LoadReporting::None,
+            counters,
+            poll_requested: Rc::default(),
+        };
+        UpstreamHarness { client, inputs, cancel: None }
+    }
+
+    pub fn now(&self) -> Micros {
+        self.client.driver.clock.now()
+    }
+
+    /// A prefill attempt for a request with this id, to be sent.
+    pub fn attempt(&mut self, worker: &str, id: &str) -> Attempt {
+        let (cancel, cancelled) = oneshot::channel();
+        self.cancel = Some(cancel);
+        Attempt {
+            request: RequestId(1),
+            state: RequestState::default(),
+            attempt: AttemptIndex(0),
+            worker: WorkerId(worker.into()),
+            stage: Stage::Prefill,
+            forwarded: Rc::new(forwarded_request(id)),
+            until: self.now() + 10 * SECOND,
+            begin_before: None,
+            after: None,
+            cancelled,
+            begun: Rc::default(),
+        }
+    }
+
+    /// Sends an attempt, and waits for its end.
+    pub async fn outcome_of(&mut self, attempt: Attempt) -> Outcome {
+        self.client.send(attempt);
+        self.next_outcome().await
+    }
+
+    /// Waits for the end of the attempt in flight.
+    pub async fn next_outcome(&mut self) -> Outcome {
+        loop {
+            if let DriverInput::AttemptEnded { outcome, .. } = self.inputs.recv().await.unwrap() {
+                return outcome;
+            }
+        }
+    }
+}
+
+fn endpoint(worker: &str) -> Endpoint {
+    Endpoint {
+        worker: WorkerId(worker.into()),
+        zone: String::new(),
+        kind: "answer".into(),
+        cell: 0,
+        status: WorkerStatus::Ready,
+        weight: 1.0,
+        started_at: None,
+    }
+}
+
+pub fn forwarded_request(id: &str) -> ForwardedRequest {
+    ForwardedRequest {
+        id: id.into(),
+        target: "/".into(),
+        headers: Default::default(),
+        body: "hello".into(),
+        client: ClientConnection::default(),
+        resources: None,
+    }
+}
+
+/// A worker that records the messages it receives, and answers as `act` says.
+pub fn recording_worker(
+    act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+) -> (Peer, mpsc::Receiver<Message>) {
+    let (record, received) = mpsc::channel();
+    let record = Mutex::new(record);
+    let worker = Peer::start(move |message, conn| {
+        record.lock().unwrap().send(message.clone()).unwrap();
+        act(message, conn)
+    });
+    (worker, received)
+}
+
+/// The answer of a prefill worker that has processed its prompt.
+pub fn complete_prefill(_: &Message, conn: &mut Conn) -> bool {
+    conn.answer("202 Accepted", "", "{}");
+    true
+}
+
+/// Waits until each other task that can run has run once.
+pub async fn next_turn() {
+    let mut has_waited = false;
+    poll_fn(|cx| {
+        if std::mem::replace(&mut has_waited, true) {
+            return Poll::Ready(());
+        }
+        cx.waker().wake_by_ref();
+        Poll::Pending
+    })
+    .await;
+}
+
+/// Runs a test with a set of local tasks, as the router does.
+pub async fn run_local(test: impl Future<Output = ()>) {
+    tokio::task::LocalSet::new().run_until(test).await;
+}
