--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Workers' streams through the whole program: passed on event by event, or broken off.
+//! Workers' response streams through the whole program: relayed event by event, or broken off.
 
 mod support;
 
@@ -9,22 +9,22 @@
 use support::*;
 
 #[rstest]
-#[case::after_the_first_event_it_is_passed_on_as_broken(true, "send", 200, false, 1)]
-#[case::before_it_an_unsafe_request_fails(false, "send", 502, true, 1)]
-#[case::before_it_a_safe_one_is_tried_elsewhere(false, "explain", 200, true, 2)]
-fn a_writer_that_dies(
-    #[case] begun: bool,
+#[case::after_the_first_event_its_stream_is_relayed_as_broken(true, "send", 200, false, 1)]
+#[case::before_it_a_non_idempotent_request_fails(false, "send", 502, true, 1)]
+#[case::before_it_an_idempotent_one_is_retried_elsewhere(false, "explain", 200, true, 2)]
+fn a_decode_worker_that_dies(
+    #[case] sends_first_event: bool,
     #[case] class: &str,
     #[case] status: u16,
-    #[case] whole: bool,
-    #[case] tries: u32,
+    #[case] is_complete: bool,
+    #[case] attempts: u32,
 ) {
     let count = Arc::new(AtomicU32::new(0));
-    let start = || {
+    let start_worker = || {
         let count = count.clone();
         Peer::start(move |_, conn| {
             let first = count.fetch_add(1, Ordering::SeqCst) == 0;
-            if !first || begun {
+            if !first || sends_first_event {
                 conn.begin_stream();
                 conn.delta("one");
             }
@@ -34,37 +34,44 @@
             !first
         })
     };
-    let (writers, reader) = ([start(), start()], Peer::prefill_worker());
-    let all = writers.each_ref().map(|w| w.address);
-    let router = RouterProcess::start(&operator_file(&[reader.address], &all, ""));
+    let (decoders, prefill) = ([start_worker(), start_worker()], Peer::prefill_worker());
+    let addresses = decoders.each_ref().map(|worker| worker.address);
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &addresses, ""));
     let answer = router.request("id-1", class);
-    assert_eq!((answer.status(), answer.whole, count.load(Ordering::SeqCst)), (status, whole, tries));
-    assert!(!begun || answer.text().contains("one"));
+    assert_eq!(
+        (answer.status(), answer.whole, count.load(Ordering::SeqCst)),
+        (status, is_complete, attempts)
+    );
+    assert!(!sends_first_event || answer.text().contains("one"));
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// Guards against what a model host may write instead of a stream, on a connection that it keeps open: a repeat
-/// of what must not run twice before the first event, and after it a client left waiting, or given what is no event.
+/// Guards against what a worker may write in place of a stream, on a connection that it keeps open: before the first event
+/// against a retry of a request that must not run twice, and after it against a client that is left waiting, or that gets
+/// what is no event.
 #[rstest]
 #[case::noise("\u{1}\u{2}\u{3} nothing like HTTP\r\n\r\n", false)]
-#[case::a_head_that_can_t_be_read("HTTP/1.1 2x0 OK\r\n\r\n", false)]
+#[case::an_invalid_head("HTTP/1.1 2x0 OK\r\n\r\n", false)]
 #[case::noise_for_a_first_event("{HEAD}5\r\nnoise\r\n6\r\nnoise\n\r\n", false)]
 #[case::a_comment_before_any_event("{HEAD}8\r\n: ping\n\n\r\nzz\r\n", false)]
-#[case::a_size_that_can_t_be_read("{HEAD}b\r\ndata: one\n\n\r\nzz\r\n", true)]
-#[case::a_size_too_small("{HEAD}b\r\ndata: one\n\n\r\n3\r\ndata: two\n\n\r\n", true)]
-#[case::a_size_too_large("{HEAD}b\r\ndata: one\n\n\r\n40\r\ndata: two\n\n\r\nb\r\ndata: x\n\n\r\n", true)]
-#[case::three_gigabytes("{HEAD}b\r\ndata: one\n\n\r\nb2d05e00\r\n{MORE}", true)]
-fn a_stream_that_comes_spoilt(
+#[case::an_invalid_chunk_size("{HEAD}b\r\ndata: one\n\n\r\nzz\r\n", true)]
+#[case::a_chunk_size_too_small("{HEAD}b\r\ndata: one\n\n\r\n3\r\ndata: two\n\n\r\n", true)]
+#[case::a_chunk_size_too_large(
+    "{HEAD}b\r\ndata: one\n\n\r\n40\r\ndata: two\n\n\r\nb\r\ndata: x\n\n\r\n",
+    true
+)]
+#[case::a_chunk_of_three_gigabytes("{HEAD}b\r\ndata: one\n\n\r\nb2d05e00\r\n{MORE}", true)]
+fn a_corrupted_stream(
     #[case] wire: &str,
-    #[case] begun: bool,
+    #[case] has_first_event: bool,
     #[values("send", "explain")] class: &str,
 ) {
-    let (closed, closes) = shared_channel();
+    let (report_closed, closed) = shared_channel();
     let wire = wire.replace("{HEAD}", HEAD);
-    let count = AtomicU32::new(0);
-    let writer = Peer::start(move |_, conn| {
-        if count.fetch_add(1, Ordering::SeqCst) > 0 {
+    let attempts = AtomicU32::new(0);
+    let decode = Peer::start(move |_, conn| {
+        if attempts.fetch_add(1, Ordering::SeqCst) > 0 {
             conn.begin_stream();
             conn.delta("one");
             conn.end_stream();
@@ -72,24 +79,24 @@
         }
         let _ = conn.0.write_all(wire.replace("{MORE}", "").as_bytes());
         while wire.contains("{MORE}") && conn.0.write_all(&[b'x'; 4096]).is_ok() {}
-        closed((wire.contains("{MORE}") || conn.is_closed()).to_string());
+        report_closed((wire.contains("{MORE}") || conn.is_closed()).to_string());
         false
     });
-    let reader = Peer::prefill_worker();
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let prefill = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
     let answer = router.request("id-1", class);
-    let status = if begun || class == "explain" { 200 } else { 502 };
-    assert_eq!((answer.status(), answer.whole), (status, !begun));
-    assert!(!begun || answer.text() == "data: one\n\n", "{}", answer.text());
-    assert_eq!(closes.recv().unwrap(), "true");
+    let status = if has_first_event || class == "explain" { 200 } else { 502 };
+    assert_eq!((answer.status(), answer.whole), (status, !has_first_event));
+    assert!(!has_first_event || answer.text() == "data: one\n\n", "{}", answer.text());
+    assert_eq!(closed.recv().unwrap(), "true");
 }
 
-/// Guards against events that are held back or lumped: each one is here before the next one is written.
+/// Guards against events that are delayed or merged: each one arrives before the next one is written.
 #[test]
-fn each_event_is_passed_on_before_the_next_one_comes() {
-    let (go, gate) = mpsc::channel::<()>();
+fn each_event_is_relayed_before_the_next_one_is_written() {
+    let (proceed, gate) = mpsc::channel::<()>();
     let gate = Mutex::new(gate);
-    let writer = Peer::start(move |_, conn| {
+    let decode = Peer::start(move |_, conn| {
         conn.begin_stream();
         for number in 0..20 {
             conn.delta(&format!("<{number}>"));
@@ -98,8 +105,8 @@
         conn.end_stream();
         true
     });
-    let reader = Peer::prefill_worker();
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let prefill = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
     let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     for number in 0..20 {
@@ -108,53 +115,53 @@
             line.clear();
             assert!(client.read_line(&mut line).unwrap() > 0, "ended before event {number}");
         }
-        go.send(()).unwrap();
+        proceed.send(()).unwrap();
     }
 }
 
-/// Guards against a client left waiting by a stream that shows life for ever and brings no event.
+/// Guards against a client that is left waiting by a stream of comments which brings no further event.
 #[test]
 fn a_stream_of_comments_without_end_is_broken_off() {
-    let (closed, closes) = shared_channel();
-    let writer = Peer::start(move |_, conn| {
+    let (report_closed, closed) = shared_channel();
+    let decode = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.delta("one");
         while write!(conn.0, "8\r\n: ping\n\n\r\n").is_ok() {
             std::thread::sleep(std::time::Duration::from_millis(50));
         }
-        closed("closed".into());
+        report_closed("closed".into());
         false
     });
-    let reader = Peer::prefill_worker();
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
+    let prefill = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
     let answer = router.request("id-1", "send");
     assert!(answer.status() == 200 && !answer.whole && answer.text().contains("one"));
-    closes.recv().unwrap();
+    closed.recv().unwrap();
 }
 
-/// Guards against good streams lost to what else a model host writes, and against a second answer taken for the
-/// answer to the next request on that connection.
+/// Guards against good streams that are lost over what else a worker writes, and against a second response that is taken
+/// for the response to the next request on that connection.
 #[rstest]
-#[case::answers_ahead(
+#[case::informational_responses_before_it(
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n{HEAD}",
     ""
 )]
-#[case::a_report_that_can_t_be_read("{HEAD}", "")]
-#[case::a_second_answer("{HEAD}", "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")]
-fn a_good_stream_that_brings_more_than_belongs_to_it(#[case] head: &str, #[case] behind: &'static str) {
+#[case::an_invalid_load_report("{HEAD}", "")]
+#[case::a_second_response("{HEAD}", "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")]
+fn a_good_stream_with_more_than_belongs_to_it(#[case] head: &str, #[case] trailing: &'static str) {
     let report = "transfer-encoding: chunked\r\nx-load: \u{1}\u{2}\r\nx-load: what\r\n";
     let head = head.replace("{HEAD}", HEAD).replace("transfer-encoding: chunked\r\n", report);
-    let writer = Peer::start(move |message, conn| {
+    let decode = Peer::start(move |message, conn| {
         let _ = conn.0.write_all(head.as_bytes());
         conn.delta(message.header("x-request-id").unwrap());
-        // In one piece: what comes once the next request is out can't be told from its answer by anybody.
-        let _ = conn.0.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{behind}").as_bytes());
+        // In one piece: what arrives after the next request was sent can't be told from its response by anybody.
+        let _ = conn.0.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{trailing}").as_bytes());
         true
     });
-    let reader = Peer::prefill_worker();
-    let router = RouterProcess::start(&operator_file(&[reader.address], &[writer.address], ""));
-    for i in 0..20 {
-        let answer = router.request(&format!("id-{i}"), "send");
-        assert!(answer.whole && answer.text().contains(&format!("\"id-{i}\"")), "{}", answer.line);
+    let prefill = Peer::prefill_worker();
+    let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
+    for number in 0..20 {
+        let answer = router.request(&format!("id-{number}"), "send");
+        assert!(answer.whole && answer.text().contains(&format!("\"id-{number}\"")), "{}", answer.line);
     }
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -7,29 +7,30 @@
 use support::shim::ShimmedRouter;
 use support::*;
 
-/// A router between one prefill and one decode worker, and the two.
-fn routed() -> (ShimmedRouter, [Peer; 2]) {
-    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
-    let shimmed = ShimmedRouter::start(&operator_file(&[reader.address], &[writer.address], ""));
-    (shimmed, [reader, writer])
+/// A router with a prefill and a decode worker, and the two workers.
+fn start_router() -> (ShimmedRouter, [Peer; 2]) {
+    let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
+    let shimmed = ShimmedRouter::start(&operator_file(&[prefill.address], &[decode.address], ""));
+    (shimmed, [prefill, decode])
 }
 
-fn ask_all(router: &RouterProcess, requests: usize) {
+/// Sends requests one after the other, each of which must be answered completely.
+fn send_requests(router: &RouterProcess, requests: usize) {
     for number in 0..requests {
         let answer = router.request(&format!("id-{number}"), "send");
         assert_eq!((answer.status(), answer.whole), (200, true), "request {number}: {answer:?}");
     }
 }
 
-/// Guards against connections that were closed over a signal: of 1,700 requests 200 got no answer while one call in four
-/// was interrupted.
+/// Guards against connections that are closed because a call was interrupted by a signal: of 1,700 requests 200 got no
+/// answer while one call in four was interrupted.
 #[test]
 fn interrupted_calls_end_no_connection() {
-    let (shimmed, _workers) = routed();
+    let (shimmed, _workers) = start_router();
     for fault in [Fault::ReadInterrupted, Fault::WriteInterrupted, Fault::PollInterrupted] {
         shimmed.control.set_period(fault, 2).unwrap();
     }
-    ask_all(&shimmed.router, 20);
+    send_requests(&shimmed.router, 20);
     assert!(shimmed.control.count(Fault::ReadInterrupted).unwrap() > 20);
     let counters = shimmed.router.stop();
     assert_eq!(
@@ -39,67 +40,68 @@
     );
 }
 
-/// Guards against clients that lost their connections because somebody else's was gone before it was accepted.
+/// Guards against clients that lose their connections because another connection was gone before it was accepted.
 #[test]
-fn a_connection_gone_before_its_accept_costs_nobody_else_anything() {
-    let (shimmed, _workers) = routed();
-    let mut kept = BufReader::new(shimmed.router.connect());
-    kept.get_mut().write_all(request("kept-1", "send", "hello").as_bytes()).unwrap();
-    assert_eq!(Message::read(&mut kept).unwrap().status(), 200);
+fn a_connection_gone_before_its_accept_affects_no_other_one() {
+    let (shimmed, _workers) = start_router();
+    let mut idle = BufReader::new(shimmed.router.connect());
+    idle.get_mut().write_all(request("idle-1", "send", "hello").as_bytes()).unwrap();
+    assert_eq!(Message::read(&mut idle).unwrap().status(), 200);
     shimmed.control.set_period(Fault::AcceptAborted, 2).unwrap();
-    ask_all(&shimmed.router, 20);
-    kept.get_mut().write_all(request("kept-2", "send", "hello").as_bytes()).unwrap();
-    assert_eq!(Message::read(&mut kept).unwrap_or_default().status(), 200);
+    send_requests(&shimmed.router, 20);
+    idle.get_mut().write_all(request("idle-2", "send", "hello").as_bytes()).unwrap();
+    assert_eq!(Message::read(&mut idle).unwrap_or_default().status(), 200);
     assert_eq!(shimmed.router.stop().get("connections_evicted"), 0);
 }
 
-/// Guards against workers that are blamed, and attempts that are spent, for what is wrong at this machine.
+/// Guards against local failures that count as worker failures, or use up a request's attempts.
 #[test]
 fn a_connect_that_fails_locally_costs_no_attempt() {
     for fault in [Fault::ConnectNoAddress, Fault::ConnectUnreachable, Fault::ConnectNoBuffers] {
-        let (shimmed, _workers) = routed();
+        let (shimmed, _workers) = start_router();
         shimmed.control.set_period(fault, 2).unwrap();
-        ask_all(&shimmed.router, 20);
+        send_requests(&shimmed.router, 20);
         assert!(shimmed.control.count(fault).unwrap() > 0);
         let counters = shimmed.router.stop();
-        let wanted = [20, 40, 0, 0];
-        let seen = ["requests_received", "attempts_sent", "attempts_connect_failed", "attempts_not_sent"]
+        let expected = [20, 40, 0, 0];
+        let counted = ["requests_received", "attempts_sent", "attempts_connect_failed", "attempts_not_sent"]
             .map(|c| counters.get(c));
-        assert_eq!(seen, wanted, "{fault:?}");
+        assert_eq!(counted, expected, "{fault:?}");
     }
 }
 
-/// Guards against answers that were lost while the system was short of memory for a moment.
+/// Guards against answers that are lost while the machine is short of memory for a moment.
 #[test]
-fn a_write_that_finds_no_buffers_is_made_again() {
-    let (shimmed, _workers) = routed();
+fn a_write_without_buffer_space_is_repeated() {
+    let (shimmed, _workers) = start_router();
     shimmed.control.set_period(Fault::WriteNoBuffers, 2).unwrap();
-    ask_all(&shimmed.router, 20);
+    send_requests(&shimmed.router, 20);
     assert_eq!(shimmed.router.stop().get("attempts_completed"), 20);
 }
 
-/// Guards against news that was left in the system's buffer: the runtime took a short read for all that had come.
+/// Guards against endpoint updates that stay in the kernel's buffer: the async runtime took a short read for a sign that
+/// nothing more had arrived.
 #[test]
 fn a_watch_in_short_reads_is_followed_at_once() {
-    let (lines, reads) = std::sync::mpsc::channel::<String>();
-    let reads = std::sync::Mutex::new(reads);
+    let (updates, watched) = std::sync::mpsc::channel::<String>();
+    let watched = std::sync::Mutex::new(watched);
     let agent = Peer::start(move |message, conn| {
         if !message.line.contains("watch=1") {
             return true;
         }
         conn.begin_stream();
-        while let Ok(line) = reads.lock().unwrap().recv() {
+        while let Ok(line) = watched.lock().unwrap().recv() {
             conn.chunk(&line);
         }
         false
     });
-    let (reader, writer) = (Peer::prefill_worker(), decode_worker());
-    let at = format!("discovery = \"{}\"\n", agent.address);
-    let shimmed = ShimmedRouter::start(&operator_file(&[reader.address], &[writer.address], &at));
+    let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
+    let discovery = format!("discovery = \"{}\"\n", agent.address);
+    let shimmed = ShimmedRouter::start(&operator_file(&[prefill.address], &[decode.address], &discovery));
     shimmed.control.set_period(Fault::ShortRead, 1).unwrap();
-    ask_all(&shimmed.router, 1);
-    let entry = r#"{"host":"answer-0","class":"answer","site":"here","health":"draining"}"#;
-    lines.send(format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{entry}]}}\n")).unwrap();
+    send_requests(&shimmed.router, 1);
+    let endpoint = r#"{"host":"answer-0","class":"answer","site":"here","health":"draining"}"#;
+    updates.send(format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{endpoint}]}}\n")).unwrap();
     shimmed.router.wait_for("answer-0 (answer, here, cell 0) is Draining");
     assert_eq!(shimmed.router.request("id-late", "send").status(), 503);
 }
