--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -3,9 +3,8 @@
 use crate::interface::Outcome;
 use crate::net::upstream::client::UpstreamClient;
 use crate::net::upstream::completion::{AttemptCompletion, AttemptResult, ConnectionDisposition};
-use crate::net::upstream::connection::{ConnectError, Connection};
 use crate::net::upstream::forward::forward_request;
-use crate::net::upstream::pool::Target;
+use crate::net::upstream::pool::{ConnectError, Connection, Target};
 use crate::net::upstream::response::{ResponseError, SentRequest, UpstreamResponse};
 use crate::net::upstream::stream::{CompletedStream, relay_stream};
 use crate::runtime::Attempt;
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -3,7 +3,7 @@
 use crate::interface::WorkerId;
 use crate::net::Local;
 use crate::net::upstream::client::UpstreamClient;
-use crate::net::upstream::connection::ConnectError;
+use crate::net::upstream::pool::ConnectError;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/src/net/upstream/client.rs
+++ b/src/net/upstream/client.rs
@@ -3,8 +3,7 @@
 use crate::interface::{LoadReporting, RequestId, WorkerId};
 use crate::net::discovery::Directory;
 use crate::net::upstream::attempt::AttemptRunner;
-use crate::net::upstream::connection::{ConnectError, Connection};
-use crate::net::upstream::pool::{Pool, Target};
+use crate::net::upstream::pool::{ConnectError, Connection, Pool, Target};
 use crate::net::upstream::{health, release, slot};
 use crate::runtime::counters::Counters;
 use crate::runtime::exchange::ForwardedRequest;
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! [`client::UpstreamClient`] is the entry point. An attempt takes a connection from the [`pool`], sends its request
 //! under a write guard, reads the response, and relays it to the client if it is a stream. Whether a request may have
-//! run depends on whether its last byte was written, which [`write_progress`] observes at the socket.
+//! run depends on whether its last byte was written, which [`pool::WriteProgress`] observes at the socket.
 
 mod attempt;
 mod call;
 pub mod client;
 mod completion;
-pub mod connection;
-pub mod event_stream;
+mod connection;
+mod event_stream;
 mod forward;
 mod health;
 mod load_report;
@@ -20,4 +20,4 @@
 mod slot;
 mod stream;
 mod stream_tail;
-pub mod write_progress;
+mod write_progress;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -5,7 +5,6 @@
 use crate::interface::WorkerId;
 use crate::net::Local;
 use crate::net::socket::connect;
-use crate::net::upstream::connection::{ConnectError, Connection};
 use crate::runtime::counters::Counters;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,6 +16,9 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
+pub use super::connection::{ConnectError, Connection};
+pub use super::write_progress::WriteProgress;
+
 /// Idle connections kept for each worker: enough for a burst. Further ones would only occupy sockets.
 const MAX_IDLE_PER_WORKER: usize = 32;
 /// A connection is not reused for this long after a response: what a worker still writes behind it arrives within this,
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -15,18 +15,18 @@
 
 /// A stream without an event for this long is broken, whatever its connection says: a machine that vanished sends no
 /// reset, and a client that waits for 5 s has lost its answer.
-const STALL_TIMEOUT: Duration = Duration::from_millis(4500);
+const EVENT_TIMEOUT: Duration = Duration::from_millis(4500);
 /// A reply that the worker has not taken within this counts as not delivered.
-const REPLY_TIMEOUT: Duration = STALL_TIMEOUT;
+const REPLY_TIMEOUT: Duration = EVENT_TIMEOUT;
 /// A client that takes nothing of its stream for this long is gone.
 const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a stream is broken after its first event.
 #[derive(Debug, thiserror::Error)]
 enum StreamFault {
-    /// No event came for [`STALL_TIMEOUT`].
-    #[error("no event for {STALL_TIMEOUT:?}")]
-    Stalled,
+    /// No event came for [`EVENT_TIMEOUT`].
+    #[error("no event for {EVENT_TIMEOUT:?}")]
+    NoEventInTime,
     /// The body broke or holds what is no event.
     #[error("{0}")]
     Corrupted(#[from] EventStreamError),
@@ -125,7 +125,7 @@
                     self.deliver(reply);
                 }
                 // Counted from the last event: bytes that make no complete event do not keep a stream alive.
-                received = tokio::time::timeout_at(self.last_event + STALL_TIMEOUT, self.events.next_part()) => {
+                received = tokio::time::timeout_at(self.last_event + EVENT_TIMEOUT, self.events.next_part()) => {
                     match received {
                         Ok(Ok(Some(part))) => return Ok(Some(part)),
                         Ok(Ok(None)) if self.is_complete() => return Ok(None),
@@ -133,7 +133,7 @@
                         Err(_) if self.sender.paused.get() => self.last_event = Instant::now(),
                         Ok(Ok(None)) => return Err(self.record_fault(StreamFault::EndedEarly)),
                         Ok(Err(error)) => return Err(self.record_fault(error.into())),
-                        Err(_) => return Err(self.record_fault(StreamFault::Stalled)),
+                        Err(_) => return Err(self.record_fault(StreamFault::NoEventInTime)),
                     }
                 }
             }
