--- a/src/net/failure.rs
+++ b/src/net/failure.rs
@@ -1,6 +1,7 @@
 //! Classification of failed system calls: whether an error concerns one connection, this machine or the peer.
 //!
-//! Every error number that accept(2), connect(2), recv(2) and send(2) document is classified here and nowhere else.
+//! Every error number that accept(2), connect(2), recv(2) and send(2) document is classified here and nowhere
+//! else.
 
 use rustix::io::Errno;
 use std::io;
@@ -31,7 +32,8 @@
 pub enum ConnectFailure {
     /// A signal: the call is repeated at once.
     Interrupted,
-    /// This machine or its network interface: the condition may pass in a moment, and says nothing about the peer.
+    /// This machine or its network interface: the condition may pass in a moment, and says nothing about the
+    /// peer.
     Machine,
     /// The peer, or the network path to it.
     OtherSide,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
 //! The network side of the router: tower services over hyper.
 //!
-//! [`server`] faces clients, [`upstream`] faces workers, and [`discovery`] the discovery agent. A request passes from
-//! [`server`] to [`upstream`] only through an [`exchange`](crate::runtime::exchange). [`socket`] and [`failure`] are
-//! shared by all three.
+//! [`server`] faces clients, [`upstream`] faces workers, and [`discovery`] the discovery agent. A request
+//! passes from [`server`] to [`upstream`] only through an [`exchange`](crate::runtime::exchange). [`socket`]
+//! and [`failure`] are shared by all three.
 
 pub mod discovery;
 pub mod failure;
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,8 +1,8 @@
 //! Sockets that hyper reads and writes while their owner still has access to the stream.
 //!
-//! Reads and writes follow the results of the system calls, not the readiness that the async runtime caches: an
-//! interrupted call is repeated, a call that failed for lack of memory is repeated after a pause, and a short read is not
-//! taken as a sign that nothing more has arrived.
+//! Reads and writes follow the results of the system calls, not the readiness that the async runtime caches:
+//! an interrupted call is repeated, a call that failed for lack of memory is repeated after a pause, and a
+//! short read is not taken as a sign that nothing more has arrived.
 
 use super::failure::{ConnectFailure, TransferFailure, connect_failure, transfer_failure};
 use bytes::BufMut;
@@ -39,8 +39,8 @@
 
 /// Listens with a queue for `backlog` connections that wait to be accepted.
 ///
-/// The runtime's own default is 128. Connections beyond it, in a burst or while the process was paused, were rejected by
-/// the kernel and came back with the client's retransmission a second later.
+/// The runtime's own default is 128. Connections beyond it, in a burst or while the process was paused, were
+/// rejected by the kernel and came back with the client's retransmission a second later.
 ///
 /// # Errors
 /// The system can't listen on the address.
@@ -52,8 +52,8 @@
     socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
 }
 
-/// Connects. Failures of this machine are retried with backoff until `deadline`; the deadline does not interrupt a
-/// connect that is in progress.
+/// Connects. Failures of this machine are retried with backoff until `deadline`; the deadline does not
+/// interrupt a connect that is in progress.
 ///
 /// Dropping the future abandons the connect.
 ///
@@ -80,7 +80,8 @@
 
 /// Observes the writes of a [`Socket`], and may refuse them.
 pub trait WriteMonitor {
-    /// Called directly before each write, in the same poll: no other task runs between this call and the write.
+    /// Called directly before each write, in the same poll: no other task runs between this call and the
+    /// write.
     ///
     /// # Errors
     /// The write is not made, and fails with this error.
@@ -177,7 +178,8 @@
 }
 
 impl LocalShortage {
-    /// How long the shortage has lasted. It begins with the first call of this method after [`end`](Self::end).
+    /// How long the shortage has lasted. It begins with the first call of this method after
+    /// [`end`](Self::end).
     fn duration(&mut self) -> Duration {
         self.since.get_or_insert_with(Instant::now).elapsed()
     }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -17,8 +17,8 @@
 
 /// Carries out one attempt.
 ///
-/// Each step returns the outcome as an error if the attempt ends with it. A connection that is dropped on the way is
-/// closed; see [`Connection`] for what that means for a request which was partly written.
+/// Each step returns the outcome as an error if the attempt ends with it. A connection that is dropped on the
+/// way is closed; see [`Connection`] for what that means for a request which was partly written.
 pub(super) struct AttemptRunner {
     client: UpstreamClient,
     attempt: Attempt,
@@ -58,8 +58,9 @@
 
     /// Waits for a release of the same request, if one is in progress, and stops it.
     ///
-    /// A release that arrives during a prefill removes the KV cache that this prefill is about to leave, and the decode
-    /// worker would not find it. So the release goes first, and is not continued once the prefill is sent.
+    /// A release that arrives during a prefill removes the KV cache that this prefill is about to leave, and
+    /// the decode worker would not find it. So the release goes first, and is not continued once the prefill
+    /// is sent.
     async fn wait_for_release(&mut self) -> Result<(), Outcome> {
         let Some(release) = self.attempt.after.take() else { return Ok(()) };
         tokio::select! {
@@ -75,8 +76,8 @@
 
     async fn connect(&mut self, target: &Target) -> Result<Connection, Outcome> {
         let connected = tokio::select! {
-            // Cancellation first: nothing may be sent for a cancelled attempt. A connection that is made at the deadline
-            // is used; the write guard then decides whether there is time left.
+            // Cancellation first: nothing may be sent for a cancelled attempt. A connection that is made at
+            // the deadline is used; the write guard then decides whether there is time left.
             biased;
             _ = &mut self.attempt.cancelled => return Err(Outcome::Cancelled),
             connected = self.client.connect(target) => connected,
@@ -117,7 +118,8 @@
             UpstreamResponse::read(response, sent).await
         };
         let exchanged = tokio::select! {
-            // A response that has come counts, even if the attempt was cancelled or timed out in the same moment.
+            // A response that has come counts, even if the attempt was cancelled or timed out in the same
+            // moment.
             biased;
             exchanged = exchanging => exchanged,
             _ = &mut self.attempt.cancelled => return Err(unless_incomplete(Outcome::Cancelled)),
--- a/src/net/upstream/client.rs
+++ b/src/net/upstream/client.rs
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tower::{Service, ServiceExt};
 
-/// The upstream side of the router: an [`Outbound`] for the driver, and a tower service for single calls to workers.
-/// Clones share the same directory, pool and counters.
+/// The upstream side of the router: an [`Outbound`] for the driver, and a tower service for single calls to
+/// workers. Clones share the same directory, pool and counters.
 #[derive(Clone)]
 pub struct UpstreamClient {
     /// The addresses and states of the workers.
--- a/src/net/upstream/completion.rs
+++ b/src/net/upstream/completion.rs
@@ -29,8 +29,9 @@
 
 /// Reports an attempt's end to the driver when dropped.
 ///
-/// However the attempt's task ends, by a panic too, the driver gets exactly one [`DriverInput::AttemptEnded`]: without a
-/// result from [`finish`](Self::finish) it says that the connection was lost, since the request may have run.
+/// However the attempt's task ends, by a panic too, the driver gets exactly one
+/// [`DriverInput::AttemptEnded`]: without a result from [`finish`](Self::finish) it says that the connection
+/// was lost, since the request may have run.
 pub(super) struct AttemptCompletion {
     driver: DriverHandle,
     request: RequestId,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -16,8 +16,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// A reset that comes this soon after a request was sent on a reused connection concerns the connection, not what the
-/// worker does with the request.
+/// A reset that comes this soon after a request was sent on a reused connection concerns the connection, not
+/// what the worker does with the request.
 const STALE_RESET_WINDOW: Duration = Duration::from_millis(100);
 /// The most that hyper buffers of a response's head or body.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
@@ -53,8 +53,8 @@
 
 /// A connection to a worker.
 ///
-/// Dropping it closes the socket. While a request waits for its response, dropping it also discards what the kernel has
-/// not sent yet, so that a worker does not receive the end of a request that was given up.
+/// Dropping it closes the socket. While a request waits for its response, dropping it also discards what the
+/// kernel has not sent yet, so that a worker does not receive the end of a request that was given up.
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     /// Shared with hyper, for looking at the socket before hyper does.
@@ -75,8 +75,8 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         if self.awaits_response {
-            // A close without linger resets the connection: a worker begins with a request's last byte, and what the
-            // kernel still holds of a request that was given up must not be delivered.
+            // A close without linger resets the connection: a worker begins with a request's last byte, and
+            // what the kernel still holds of a request that was given up must not be delivered.
             let _ = SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
         }
         self.driver.abort();
@@ -121,8 +121,8 @@
         self.progress.clone()
     }
 
-    /// Sends a request with a body of `body_length` bytes, and waits for the head of its response. The response's body
-    /// must be read to its end before the connection is used again.
+    /// Sends a request with a body of `body_length` bytes, and waits for the head of its response. The
+    /// response's body must be read to its end before the connection is used again.
     ///
     /// Dropping the future gives the request up; the connection must then be dropped too.
     ///
@@ -156,8 +156,8 @@
 
     /// Whether it can take a request now.
     ///
-    /// Bytes that wait to be read belong to no request of ours: they would be taken for the response to the next request,
-    /// and hyper has not looked at the socket yet.
+    /// Bytes that wait to be read belong to no request of ours: they would be taken for the response to the
+    /// next request, and hyper has not looked at the socket yet.
     pub(super) fn is_usable(&self) -> bool {
         is_quiet(&self.stream) && self.sender.is_ready() && !self.is_closed()
     }
@@ -173,7 +173,8 @@
         self
     }
 
-    /// Whether a connection that has just broken had probably been closed by its peer before its request was written.
+    /// Whether a connection that has just broken had probably been closed by its peer before its request was
+    /// written.
     pub(super) fn was_stale(&self) -> bool {
         self.is_reused && self.sent_at.elapsed() <= STALE_RESET_WINDOW
     }
--- a/src/net/upstream/event_stream.rs
+++ b/src/net/upstream/event_stream.rs
@@ -1,8 +1,8 @@
 //! A worker's stream of server-sent events, checked event by event.
 //!
-//! A stream may be corrupted after any byte: a chunk whose size is wrong makes chunk heads look like data, and an
-//! oversized chunk is followed by whatever the worker writes next. The first bytes that are no event end the stream here,
-//! before they are forwarded. Bytes that are forwarded are not changed.
+//! A stream may be corrupted after any byte: a chunk whose size is wrong makes chunk heads look like data,
+//! and an oversized chunk is followed by whatever the worker writes next. The first bytes that are no event
+//! end the stream here, before they are forwarded. Bytes that are forwarded are not changed.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -47,8 +47,8 @@
         EventStream { body, check, parser: EventParser::default() }
     }
 
-    /// Everything up to the end of the first event; `None` if the stream ends before one. Comments are not events: until
-    /// there is an event, nothing has been answered.
+    /// Everything up to the end of the first event; `None` if the stream ends before one. Comments are not
+    /// events: until there is an event, nothing has been answered.
     ///
     /// # Errors
     /// The stream is corrupted before its first event.
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -4,7 +4,8 @@
 use crate::simulator::read_report;
 use hyper::HeaderMap;
 
-/// The load report in a response's headers. A report that can't be read counts as none: the response itself is good.
+/// The load report in a response's headers. A report that can't be read counts as none: the response itself
+/// is good.
 pub(super) fn from_headers(headers: &HeaderMap) -> Option<LoadReport> {
     parse(headers.get("x-load")?.to_str().ok()?)
 }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,6 +1,8 @@
-//! The pool of connections to workers: idle connections are reused while they are young, and their number is bounded.
+//! The pool of connections to workers: idle connections are reused while they are young, and their number is
+//! bounded.
 //!
-//! The pool never repeats a request by itself: whether an attempt may be repeated is for the policy to decide.
+//! The pool never repeats a request by itself: whether an attempt may be repeated is for the policy to
+//! decide.
 
 use crate::interface::WorkerId;
 use crate::net::Local;
@@ -21,8 +23,8 @@
 
 /// Idle connections kept for each worker: enough for a burst. Further ones would only occupy sockets.
 const MAX_IDLE_PER_WORKER: usize = 32;
-/// A connection is not reused for this long after a response: what a worker still writes behind it arrives within this,
-/// and would be taken for the response to the next request.
+/// A connection is not reused for this long after a response: what a worker still writes behind it arrives
+/// within this, and would be taken for the response to the next request.
 pub const TRAILING_BYTES_WAIT: Duration = Duration::from_millis(25);
 /// No connection is reused for this long after a reused one was found dead.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(60);
@@ -86,10 +88,10 @@
 
     /// A connection broke before its response.
     ///
-    /// A reused connection that is reset as soon as a request is written to it had been closed by its peer without
-    /// notice, and other idle ones have probably been, too. A request written to one of those counts as possibly run, so
-    /// one that must not run twice would be lost. Hence no connection is reused for a while; a new one costs a few round
-    /// trips.
+    /// A reused connection that is reset as soon as a request is written to it had been closed by its peer
+    /// without notice, and other idle ones have probably been, too. A request written to one of those counts
+    /// as possibly run, so one that must not run twice would be lost. Hence no connection is reused for a
+    /// while; a new one costs a few round trips.
     pub fn record_broken(&self, connection: &Connection) {
         if !connection.was_stale() {
             return;
@@ -145,7 +147,8 @@
         self.shared.idle.borrow_mut().clear();
     }
 
-    /// Takes the most recently used connection that may be reused. Those found unusable on the way are closed.
+    /// Takes the most recently used connection that may be reused. Those found unusable on the way are
+    /// closed.
     fn take_idle(&self, target: &Target) -> Option<Connection> {
         let mut idle = self.shared.idle.borrow_mut();
         let connections = idle.get_mut(&target.worker)?;
@@ -161,14 +164,16 @@
         None
     }
 
-    /// A worker closes connections that have been idle for long, and a request written to such a one ends in a reset.
+    /// A worker closes connections that have been idle for long, and a request written to such a one ends in
+    /// a reset.
     fn is_reusable(&self, idle: &IdleConnection, target: &Target) -> bool {
         idle.address == target.address
             && idle.since.elapsed() < self.shared.limits.idle_timeout
             && idle.connection.is_usable()
     }
 
-    /// Reserves the right to open a connection. Idle connections to other workers give way if there is none left.
+    /// Reserves the right to open a connection. Idle connections to other workers give way if there is none
+    /// left.
     fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, ConnectError> {
         let permits = &self.shared.permits;
         if let Ok(permit) = permits.clone().try_acquire_owned() {
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -1,7 +1,7 @@
 //! Releases of the KV caches and slots that workers hold for a request.
 //!
-//! Any worker takes a release and passes it on to the holder. Workers are called one after the other until one has
-//! acknowledged it; a second call does no harm, but a KV cache that is held too long does.
+//! Any worker takes a release and passes it on to the holder. Workers are called one after the other until
+//! one has acknowledged it; a second call does no harm, but a KV cache that is held too long does.
 
 use crate::interface::WorkerId;
 use crate::net::upstream::call::UnaryCall;
@@ -20,7 +20,8 @@
 const RELEASE_DELAY: Duration = Duration::from_millis(5);
 /// Before a further worker is called while a call is unanswered: well within [`RELEASE_PERIOD`].
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
-/// New calls are made for this long: a KV cache has to be released about 0.4 s after the policy has decided so.
+/// New calls are made for this long: a KV cache has to be released about 0.4 s after the policy has decided
+/// so.
 const RELEASE_PERIOD: Duration = Duration::from_millis(350);
 /// After a call that failed, and while no worker is known.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
@@ -37,7 +38,8 @@
 ) {
     let release = CacheRelease::new(client, request, progress);
     tokio::select! {
-        // A stopped release must not write anything more, so the stop is looked at before each step of the release.
+        // A stopped release must not write anything more, so the stop is looked at before each step of the
+        // release.
         biased;
         () = progress.stopped() => {}
         () = release.run() => {}
@@ -98,7 +100,8 @@
     /// The worker to call next: the known holder first, then all others.
     fn next_candidate(&mut self) -> Option<WorkerId> {
         if self.candidates.is_empty() {
-            // All were called without success, or none is known yet: the endpoint list may have changed since.
+            // All were called without success, or none is known yet: the endpoint list may have changed
+            // since.
             self.candidates = self.client.directory.running();
             self.candidates.reverse();
         }
@@ -116,9 +119,11 @@
         });
     }
 
-    /// Waits for an acknowledgement, for the end of a call, or until it is time to call another worker as well.
+    /// Waits for an acknowledgement, for the end of a call, or until it is time to call another worker as
+    /// well.
     async fn wait_before_next_call(&mut self) -> Acknowledgement {
-        // The order of the branches does not matter: a call that has ended is looked at for its acknowledgement, too.
+        // The order of the branches does not matter: a call that has ended is looked at for its
+        // acknowledgement, too.
         tokio::select! {
             Some(()) = self.acknowledged.recv() => Acknowledgement::Received,
             Some(_) = self.calls.join_next() => {
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,4 +1,5 @@
-//! A worker's response to an attempt: what its status means, and what is read of it before the attempt goes on.
+//! A worker's response to an attempt: what its status means, and what is read of it before the attempt goes
+//! on.
 
 use crate::interface::{Outcome, Stage};
 use crate::net::upstream::call::read_body;
@@ -56,12 +57,14 @@
 }
 
 /// What the head of a response means.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseKind {
     /// The response is the stream that was asked for.
     Stream,
     /// The status says how the attempt ended, and a short body follows.
     Final(Outcome),
-    /// The response does not belong to what was asked: its body is not read, and the connection not used again.
+    /// The response does not belong to what was asked: its body is not read, and the connection not used
+    /// again.
     Unexpected(Outcome),
 }
 
@@ -107,8 +110,8 @@
         UpstreamResponse::Complete { result: outcome.into(), disposition }
     }
 
-    /// Reads the short body of a response whose status has told the outcome: a body that doesn't come, or not completely,
-    /// costs only the connection.
+    /// Reads the short body of a response whose status has told the outcome: a body that doesn't come, or not
+    /// completely, costs only the connection.
     async fn read_final(outcome: Outcome, headers: &HeaderMap, body: Incoming, sent: &SentRequest) -> Self {
         let read = tokio::time::timeout(BODY_TIMEOUT, read_body(body)).await;
         let body = read.ok().and_then(Result::ok);
@@ -124,8 +127,8 @@
         UpstreamResponse::Complete { result: AttemptResult { outcome, cached_tokens, report }, disposition }
     }
 
-    /// Reads a stream up to its first event. The head alone is not enough: until an event has come, the attempt can still
-    /// be replaced by another one.
+    /// Reads a stream up to its first event. The head alone is not enough: until an event has come, the
+    /// attempt can still be replaced by another one.
     async fn start_stream(headers: &HeaderMap, body: Incoming) -> Result<Self, EventStreamError> {
         let is_chunked = headers.contains_key("transfer-encoding");
         let has_marked_end = is_chunked || body.size_hint().exact().is_some();
@@ -150,3 +153,6 @@
 fn prefill_cached_tokens(body: &[u8]) -> u64 {
     serde_json::from_slice::<PrefillResponse>(body).map_or(0, |response| response.cached_tokens as u64)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/upstream/send_guard.rs
+++ b/src/net/upstream/send_guard.rs
@@ -1,8 +1,8 @@
 //! The conditions under which an attempt may begin to be written and go on.
 //!
-//! An attempt was decided on before its release was awaited and its connection made. Since then the worker may have been
-//! reported as draining, the client may have left, and time has passed. So the conditions are checked again directly
-//! before each write.
+//! An attempt was decided on before its release was awaited and its connection made. Since then the worker
+//! may have been reported as draining, the client may have left, and time has passed. So the conditions are
+//! checked again directly before each write.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 use crate::net::discovery::Directory;
@@ -56,8 +56,8 @@
         SendConditions::new(attempt, &self.directory).check(now).map_err(Withheld::outcome)
     }
 
-    /// The check of an attempt before its first byte and before each further write, if the worker takes the request in
-    /// several parts. A worker begins with the last byte, so a request may be withheld until then.
+    /// The check of an attempt before its first byte and before each further write, if the worker takes the
+    /// request in several parts. A worker begins with the last byte, so a request may be withheld until then.
     pub(super) fn write_guard(&self, attempt: &Attempt) -> WriteGuard {
         let conditions = SendConditions::new(attempt, &self.directory);
         let (clock, counters, begun) = (self.driver.clock, self.counters.clone(), attempt.begun.clone());
--- a/src/net/upstream/slot.rs
+++ b/src/net/upstream/slot.rs
@@ -14,8 +14,8 @@
     format!("/internal/reservations/{}", request.id)
 }
 
-/// Reserves a slot at a decode worker in a task of its own, which submits the worker's answer to the driver. Without an
-/// answer nothing is submitted.
+/// Reserves a slot at a decode worker in a task of its own, which submits the worker's answer to the driver.
+/// Without an answer nothing is submitted.
 pub(super) fn reserve_slot(
     client: &UpstreamClient,
     request: RequestId,
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 use tower::Service;
 
-/// A stream without an event for this long is broken, whatever its connection says: a machine that vanished sends no
-/// reset, and a client that waits for 5 s has lost its answer.
+/// A stream without an event for this long is broken, whatever its connection says: a machine that vanished
+/// sends no reset, and a client that waits for 5 s has lost its answer.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(4500);
 /// A reply that the worker has not taken within this counts as not delivered.
 const REPLY_TIMEOUT: Duration = EVENT_TIMEOUT;
@@ -90,21 +90,21 @@
         let _ = tokio::time::timeout(CLIENT_WRITE_TIMEOUT, self.sender.frames.send(Frame::End)).await;
         let cached_tokens = self.tail.cached_tokens();
         let result = AttemptResult { outcome: Outcome::Completed, cached_tokens, report: None };
-        let disposition = match self.has_marked_end {
-            true => ConnectionDisposition::Reuse,
-            false => ConnectionDisposition::Close,
-        };
+        let disposition =
+            if self.has_marked_end { ConnectionDisposition::Reuse } else { ConnectionDisposition::Close };
         Ok(CompletedStream { result, disposition })
     }
 
-    /// Hands a part to the client side. Its channel is short: a slow client makes the worker wait, and no memory grow.
+    /// Hands a part to the client side. Its channel is short: a slow client makes the worker wait, and no
+    /// memory grow.
     async fn forward(&mut self, part: StreamPart) -> Result<(), Outcome> {
         self.tail.push(&part.bytes);
         let started = Instant::now();
         let sending = self.sender.frames.send(Frame::Data(part.bytes));
         match tokio::time::timeout(CLIENT_WRITE_TIMEOUT, sending).await {
             Ok(Ok(())) if part.has_event => self.last_event = Instant::now(),
-            // A comment is no event, but a client that takes it slowly does not make the worker's silence longer.
+            // A comment is no event, but a client that takes it slowly does not make the worker's silence
+            // longer.
             Ok(Ok(())) => self.last_event += started.elapsed(),
             _ => return Err(Outcome::Cancelled),
         }
@@ -114,9 +114,10 @@
     /// Waits for the next part, and meanwhile delivers replies; `None` at the end of a complete stream.
     async fn next_part(&mut self) -> Result<Option<StreamPart>, Outcome> {
         loop {
+            let event_deadline = self.last_event + EVENT_TIMEOUT;
             tokio::select! {
-                // A cancelled attempt and a client that has left come first: nothing more is relayed for them. Replies
-                // come before events, so that a busy stream does not delay them.
+                // A cancelled attempt and a client that has left come first: nothing more is relayed for
+                // them. Replies come before events, so that a busy stream does not delay them.
                 biased;
                 _ = &mut self.attempt.cancelled => return Err(Outcome::Cancelled),
                 () = self.sender.frames.closed() => return Err(Outcome::Cancelled),
@@ -125,7 +126,7 @@
                     self.deliver(reply);
                 }
                 // Counted from the last event: bytes that make no complete event do not keep a stream alive.
-                received = tokio::time::timeout_at(self.last_event + EVENT_TIMEOUT, self.events.next_part()) => {
+                received = tokio::time::timeout_at(event_deadline, self.events.next_part()) => {
                     match received {
                         Ok(Ok(Some(part))) => return Ok(Some(part)),
                         Ok(Ok(None)) if self.is_complete() => return Ok(None),
--- a/src/net/upstream/stream_tail.rs
+++ b/src/net/upstream/stream_tail.rs
@@ -54,3 +54,6 @@
         reports.next().map_or(0, |report| report.usage.prompt_tokens_details.cached_tokens as u64)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/upstream/write_progress.rs
+++ b/src/net/upstream/write_progress.rs
@@ -1,6 +1,7 @@
 //! How much of a request has been written to a connection, observed at the socket.
 //!
-//! Whether an attempt may have run depends on whether the last byte of its request was written, and hyper doesn't tell.
+//! Whether an attempt may have run depends on whether the last byte of its request was written, and hyper
+//! doesn't tell.
 
 use crate::interface::Outcome;
 use crate::net::socket::{Socket, WriteMonitor, uninterrupted};
@@ -14,7 +15,8 @@
 /// The length of the blank line that ends a head, with the line end before it: CR LF CR LF.
 const HEAD_END_LENGTH: u8 = 4;
 
-/// Asked before bytes of a request are written. An error is the outcome of an attempt that may not begin or go on.
+/// Asked before bytes of a request are written. An error is the outcome of an attempt that may not begin or
+/// go on.
 pub type WriteGuard = Box<dyn Fn() -> Result<(), Outcome>>;
 
 /// A connection's socket whose writes are recorded in a [`WriteProgress`].
@@ -23,8 +25,8 @@
 /// How much of the current request was written, and whether more of it may be.
 #[derive(Default)]
 pub struct WriteProgress {
-    /// Bytes of [`HEAD_END_LENGTH`] that the end of the written part of the head matches; all of them once the head has
-    /// been written.
+    /// Bytes of [`HEAD_END_LENGTH`] that the end of the written part of the head matches; all of them once
+    /// the head has been written.
     head_end_matched: Cell<u8>,
     /// Bytes of the body still to be written.
     body_remaining: Cell<usize>,
@@ -60,7 +62,8 @@
         {
             guard()?;
         }
-        // Bytes that arrived before the request are no response to it, and a closed connection takes no request.
+        // Bytes that arrived before the request are no response to it, and a closed connection takes no
+        // request.
         if self.is_started.get() || is_quiet(stream) { Ok(()) } else { Err(Outcome::ConnectFailed) }
     }
 
@@ -98,7 +101,8 @@
     }
 }
 
-/// Whether neither bytes nor the end of the connection wait to be read, as the kernel knows it at this moment.
+/// Whether neither bytes nor the end of the connection wait to be read, as the kernel knows it at this
+/// moment.
 pub(super) fn is_quiet(stream: &TcpStream) -> bool {
     let peeked = uninterrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// Guards against a request that reaches its worker after it was given up: bytes in the kernel's send buffer are delivered
-/// later, even after a close, and a worker begins with the last of them.
+/// Guards against a request that reaches its worker after it was given up: bytes in the kernel's send buffer
+/// are delivered later, even after a close, and a worker begins with the last of them.
 #[rstest]
 #[case::client_left(None, Outcome::Cancelled)]
 #[case::timed_out(Some(SECOND / 4), Outcome::TimedOut)]
@@ -98,7 +98,8 @@
     }
 }
 
-/// Guards against a release that is sent after the next prefill: it would remove the KV cache which that one leaves.
+/// Guards against a release that is sent after the next prefill: it would remove the KV cache which that one
+/// leaves.
 #[tokio::test]
 async fn a_release_that_was_stopped_writes_nothing_any_more() {
     run_local(async {
@@ -140,7 +141,8 @@
     .await;
 }
 
-/// A late response to an attempt that was given up goes nowhere: its connection is closed, and the next attempt has another.
+/// A late response to an attempt that was given up goes nowhere: its connection is closed, and the next
+/// attempt has another.
 #[tokio::test]
 async fn a_late_response_to_a_given_up_attempt_goes_nowhere() {
     run_local(async {
--- a/tests/attempts/responses.rs
+++ b/tests/attempts/responses.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::sync::Mutex;
 
-/// Guards against a second response to a request: if it comes some milliseconds after the first, when the next request has
-/// been sent on that connection, it can't be told from the response to that one.
+/// Guards against a second response to a request: if it comes some milliseconds after the first, when the
+/// next request has been sent on that connection, it can't be told from the response to that one.
 #[tokio::test]
 async fn a_late_second_response_is_not_taken_for_the_next_one() {
     run_local(async {
@@ -35,8 +35,8 @@
     .await;
 }
 
-/// Guards against a response that is accepted though it belongs to the other stage. The request id in its headers says
-/// nothing: the protocol leaves that to the worker.
+/// Guards against a response that is accepted though it belongs to the other stage. The request id in its
+/// headers says nothing: the protocol leaves that to the worker.
 #[rstest]
 #[case::prefill_completed(Stage::Prefill, "202 Accepted", "", Outcome::PrefillCompleted)]
 #[case::a_stream_from_a_prefill_worker(Stage::Prefill, "200 OK", "", Outcome::WorkerError)]
@@ -81,7 +81,8 @@
         let mut upstream = UpstreamHarness::start(&[(WORKER, listener.local_addr().unwrap())], 4);
         let mut attempt = upstream.attempt(WORKER, "id-1");
         let early = RefCell::new(Vec::new());
-        // In the last moment before the first byte: the async runtime has not seen that the socket is readable.
+        // In the last moment before the first byte: the async runtime has not seen that the socket is
+        // readable.
         let client = ClientConnection::new(Rc::new(move || {
             let (mut worker, _) = listener.accept().unwrap();
             worker.write_all(b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}").unwrap();
--- a/tests/attempts/send_conditions.rs
+++ b/tests/attempts/send_conditions.rs
@@ -86,7 +86,8 @@
     assert_eq!(upstream.client.may_begin(&attempt, now), expected);
 }
 
-/// Guards against other tasks that run between the last check of an attempt and its first byte: they may take any time.
+/// Guards against other tasks that run between the last check of an attempt and its first byte: they may take
+/// any time.
 #[tokio::test]
 async fn nothing_runs_between_the_last_check_of_an_attempt_and_its_first_byte() {
     run_local(async {
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -47,9 +47,9 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
-/// Guards against what a worker may write in place of a stream, on a connection that it keeps open: before the first event
-/// against a retry of a request that must not run twice, and after it against a client that is left waiting, or that gets
-/// what is no event.
+/// Guards against what a worker may write in place of a stream, on a connection that it keeps open: before
+/// the first event against a retry of a request that must not run twice, and after it against a client that
+/// is left waiting, or that gets what is no event.
 #[rstest]
 #[case::noise("\u{1}\u{2}\u{3} nothing like HTTP\r\n\r\n", false)]
 #[case::an_invalid_head("HTTP/1.1 2x0 OK\r\n\r\n", false)]
@@ -139,8 +139,8 @@
     closed.recv().unwrap();
 }
 
-/// Guards against good streams that are lost over what else a worker writes, and against a second response that is taken
-/// for the response to the next request on that connection.
+/// Guards against good streams that are lost over what else a worker writes, and against a second response
+/// that is taken for the response to the next request on that connection.
 #[rstest]
 #[case::informational_responses_before_it(
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\n{HEAD}",
@@ -154,7 +154,8 @@
     let decode = Peer::start(move |message, conn| {
         let _ = conn.0.write_all(head.as_bytes());
         conn.delta(message.header("x-request-id").unwrap());
-        // In one piece: what arrives after the next request was sent can't be told from its response by anybody.
+        // In one piece: what arrives after the next request was sent can't be told from its response by
+        // anybody.
         let _ = conn.0.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{trailing}").as_bytes());
         true
     });
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Guards against connections that are closed because a call was interrupted by a signal: of 1,700 requests 200 got no
-/// answer while one call in four was interrupted.
+/// Guards against connections that are closed because a call was interrupted by a signal: of 1,700 requests
+/// 200 got no answer while one call in four was interrupted.
 #[test]
 fn interrupted_calls_end_no_connection() {
     let (shimmed, _workers) = start_router();
@@ -40,7 +40,8 @@
     );
 }
 
-/// Guards against clients that lose their connections because another connection was gone before it was accepted.
+/// Guards against clients that lose their connections because another connection was gone before it was
+/// accepted.
 #[test]
 fn a_connection_gone_before_its_accept_affects_no_other_one() {
     let (shimmed, _workers) = start_router();
@@ -79,8 +80,8 @@
     assert_eq!(shimmed.router.stop().get("attempts_completed"), 20);
 }
 
-/// Guards against endpoint updates that stay in the kernel's buffer: the async runtime took a short read for a sign that
-/// nothing more had arrived.
+/// Guards against endpoint updates that stay in the kernel's buffer: the async runtime took a short read for
+/// a sign that nothing more had arrived.
 #[test]
 fn a_watch_in_short_reads_is_followed_at_once() {
     let (updates, watched) = std::sync::mpsc::channel::<String>();
