--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -95,8 +95,8 @@
         let limits = PoolLimits {
             sockets: settings.max_calls_at_once,
             connect_timeout,
-            keep: IDLE_TIMEOUT,
-            rest: TRAILING_BYTES_WAIT,
+            idle_timeout: IDLE_TIMEOUT,
+            trailing_bytes_wait: TRAILING_BYTES_WAIT,
         };
         ToolClient {
             address: settings.dial,
@@ -184,13 +184,13 @@
             .header("content-type", "application/json")
             .header("idempotency-key", call.id)
             .body(Full::new(call.body.clone()))?;
-        let write_progress = connection.meter();
+        let write_progress = connection.write_progress();
         self.counters.tool_executions.increment();
         // Should this future be dropped half-way, nobody can ask how much was written: the tool may have run.
         call.delivery.set(Delivery::Possible);
         let response = connection.send(request, call.body.len()).await;
         // A response says that the tool server had the request, however much of it was written.
-        if response.is_err() && !write_progress.complete() {
+        if response.is_err() && !write_progress.is_complete() {
             call.delivery.set(Delivery::Incomplete);
         }
         response.map_err(ExchangeError::Send)
