--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Settings;
 use crate::net::discovery::{EndpointUpdate, ListMessage};
-use crate::simulator::read_settings;
+use crate::wire_format::{flatten_settings, idle_connection_timeout, read_settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -186,12 +186,9 @@
         let listen =
             address(raw.listen, "NODE_LISTEN")?.ok_or_else(|| ConfigError("listen is missing".into()))?;
         let discovery = address(raw.discovery, "NODE_DISCOVERY")?;
-        let mut pairs = Vec::new();
-        flatten("", &raw.settings, &mut pairs);
-        let settings =
-            read_settings(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str()))).map_err(ConfigError)?;
-        let idle = pairs.iter().find(|(k, _)| k == "permissions.idle_close_us");
-        let idle = idle.and_then(|(_, v)| v.parse::<f64>().ok()).filter(|v| *v > 0.0 && v.is_finite());
+        let pairs = flatten_settings(&raw.settings);
+        let settings = read_settings(pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())))
+            .map_err(|error| ConfigError(error.to_string()))?;
         let seed = match &raw.seed {
             Value::String(hex) => u64::from_str_radix(hex, 16)
                 .map_err(|_| ConfigError(format!("seed: not a hexadecimal number: {hex:?}")))?,
@@ -208,34 +205,8 @@
             limits: raw.limits,
             known: raw.known.map(EndpointUpdate::from).unwrap_or_default(),
             settings,
-            idle_close: Duration::from_micros(idle.unwrap_or(30e6) as u64),
+            idle_close: idle_connection_timeout(&pairs),
             tools: raw.tools,
         })
     }
 }
-
-/// Writes nested JSON as the paths and values of the simulator's first message, for its one reader: a list of
-/// objects as `.count` and numbered items, a list of plain values joined by commas.
-fn flatten(path: &str, value: &Value, out: &mut Vec<(String, String)>) {
-    let join = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
-    let plain = |v: &Value| match v {
-        Value::String(s) => s.replace([' ', ','], "_"),
-        Value::Null => String::new(),
-        other => other.to_string(),
-    };
-    match value {
-        Value::Null => {}
-        Value::Object(fields) => fields.iter().for_each(|(k, v)| flatten(&join(k), v, out)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            out.push((join("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(i, v)| flatten(&join(&i.to_string()), v, out));
-        }
-        Value::Array(items) => {
-            out.push((path.to_owned(), items.iter().map(plain).collect::<Vec<_>>().join(",")));
-        }
-        plain_value => out.push((path.to_owned(), plain(plain_value))),
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -65,5 +65,6 @@
 pub mod rules;
 pub mod runtime;
 pub mod simulator;
+pub mod wire_format;
 
 pub use policy::Policy;
--- a/src/net/upstream/client.rs
+++ b/src/net/upstream/client.rs
@@ -13,7 +13,7 @@
     ClientConnection, ForwardedRequest, Frame, Reply, RequestState, ResponseStreamSender, response_stream,
 };
 use crate::runtime::{Attempt, Clock, DriverHandle, DriverInput, Outbound, ReleaseProgress};
-use crate::simulator::read_report;
+use crate::wire_format::parse_load_report;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -451,7 +451,7 @@
     async fn read(response: Response<Incoming>, sent: Sent) -> Result<Self, Box<dyn std::error::Error>> {
         let (head, body) = response.into_parts();
         let not_run = head.headers.contains_key("x-not-run");
-        let report = head.headers.get("x-load").and_then(|v| read_report(v.to_str().ok()?).ok());
+        let report = head.headers.get("x-load").and_then(|v| parse_load_report(v.to_str().ok()?).ok());
         let outcome = match head.status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Rejected,
             // A host begins with the last byte: whatever this says, it is not what became of the request.
@@ -584,7 +584,7 @@
             let (outcome, report) = match tokio::time::timeout(Duration::from_secs(1), call).await {
                 Ok(Ok((StatusCode::OK, body))) => (
                     Outcome::Completed,
-                    std::str::from_utf8(&body).ok().and_then(|t| read_report(t.trim()).ok()),
+                    std::str::from_utf8(&body).ok().and_then(|t| parse_load_report(t.trim()).ok()),
                 ),
                 Ok(Ok(_)) => (Outcome::Rejected, None),
                 Ok(Err(_)) => (Outcome::ConnectFailed, None),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -4,6 +4,7 @@
 
 use crate::interface::*;
 use crate::policy::Policy;
+use crate::wire_format::{parse_load_report, read_settings};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -133,32 +134,11 @@
 
     fn report(&mut self) -> Parsed<Option<LoadReport>> {
         let Some(text) = self.optional("health_info")? else { return Ok(None) };
-        read_report(text).map(Some).map_err(|pair| bad(self.message, "health_info", &pair))
+        let report = parse_load_report(text);
+        report.map(Some).map_err(|error| bad(self.message, "health_info", error.item()))
     }
 }
 
-/// Reads a load report: name:value (or name=value) pairs set apart by commas; unknown names are skipped.
-///
-/// # Errors
-/// The pair that can't be read.
-pub fn read_report(text: &str) -> Result<LoadReport, String> {
-    let mut report = LoadReport::default();
-    for pair in text.split(',') {
-        let (name, value) = pair.split_once([':', '=']).ok_or_else(|| pair.to_owned())?;
-        let slot = match name.trim() {
-            "busy_reqs" => &mut report.active_requests,
-            "pending" => &mut report.queued_requests,
-            "x0" => &mut report.memory_utilization,
-            "x1" => &mut report.queued_tokens,
-            _ => continue,
-        };
-        *slot = Some(value.trim().parse().map_err(|_| pair.to_owned())?);
-    }
-    // Waiting tokens are counted in thousands.
-    report.queued_tokens = report.queued_tokens.map(|k| k * 1000.0);
-    Ok(report)
-}
-
 fn bad(message: &str, field: &str, value: &str) -> String {
     format!("{message}: field {field} has the value {value:?}")
 }
@@ -181,7 +161,8 @@
             let router: u32 = fields.number("router")?;
             if message == "INIT" {
                 let seed = fields.number("nonce64")?;
-                let settings = read_settings(fields.rest.filter_map(|f| f.split_once('=')))?;
+                let settings = read_settings(fields.rest.filter_map(|f| f.split_once('=')))
+                    .map_err(|error| error.to_string())?;
                 self.instances.insert(router, Policy::new(settings, seed));
                 return Ok((router, None));
             }
@@ -367,132 +348,6 @@
     Ok(Endpoint { worker, zone, kind, cell, status, weight, started_at: started })
 }
 
-struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
-
-impl Pairs<'_> {
-    fn text(&self, key: &str) -> Parsed<&str> {
-        self.0.get(key).copied().ok_or_else(|| format!("INIT: setting {key} is missing"))
-    }
-
-    fn get<T: std::str::FromStr>(&self, key: &str) -> Parsed<Option<T>> {
-        self.0.get(key).map(|v| v.parse().map_err(|_| bad("INIT", key, v))).transpose()
-    }
-
-    fn need<T: std::str::FromStr>(&self, key: &str) -> Parsed<T> {
-        self.get(key)?.ok_or_else(|| format!("INIT: setting {key} is missing"))
-    }
-
-    fn micros(&self, key: &str) -> Parsed<Micros> {
-        self.need::<f64>(key).map(|v| v as Micros)
-    }
-
-    fn flag(&self, key: &str) -> Parsed<bool> {
-        match self.0.get(key).copied() {
-            Some("true" | "1") => Ok(true),
-            Some("false" | "0") | None => Ok(false),
-            Some(v) => Err(bad("INIT", key, v)),
-        }
-    }
-
-    fn list(&self, key: &str) -> Vec<&str> {
-        self.0.get(key).map(|v| v.split(',').filter(|p| !p.is_empty()).collect()).unwrap_or_default()
-    }
-
-    fn nth<T: std::str::FromStr>(&self, key: &str, index: usize) -> Parsed<Option<T>> {
-        self.list(key).get(index).map(|v| v.parse().map_err(|_| bad("INIT", key, v))).transpose()
-    }
-}
-
-/// Reads the settings from path and value pairs, in the form of the wire's INIT. Unknown paths are skipped.
-///
-/// # Errors
-/// A line that names the setting that is missing or has a value that can't be used.
-pub fn read_settings<'a>(fields: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Settings, String> {
-    let pairs = Pairs(fields.collect());
-    let mut kinds = Vec::new();
-    for (i, name) in pairs.list("skus").into_iter().enumerate() {
-        let role = match pairs.list("family_info.role_by_kind").get(i).copied() {
-            Some("read") => Role::Prefill,
-            Some("write") => Role::Decode,
-            Some("both") | None => Role::Unified,
-            Some(v) => return Err(bad("INIT", "family_info.role_by_kind", v)),
-        };
-        let memory: Option<f64> = pairs.nth("family_info.kv_tokens", i)?;
-        kinds.push(WorkerKind { name: name.to_owned(), role, memory_tokens: memory.map(|m| m as u64) });
-    }
-    let mut classes = Vec::new();
-    for i in 0..pairs.need::<usize>("classes.count")? {
-        let key = |name: &str| format!("classes.{i}.{name}");
-        let effect = match pairs.text(&key("effect"))? {
-            "read_like" => Idempotency::Idempotent,
-            "non_idempotent" => Idempotency::NonIdempotent,
-            "idempotency_key" => Idempotency::Keyed(match pairs.text(&key("dedup_scope"))? {
-                "all" => DeduplicationScope::All,
-                "zone" => DeduplicationScope::Zone,
-                "cell" => DeduplicationScope::Cell,
-                v => return Err(bad("INIT", &key("dedup_scope"), v)),
-            }),
-            v => return Err(bad("INIT", &key("effect"), v)),
-        };
-        let per_1000: Option<f64> = pairs.nth("family_info.aim_us_per_1000_prompt_tokens", i)?;
-        let inter_token_objective: Option<f64> = pairs.nth("family_info.token_aim_us", i)?;
-        classes.push(Class {
-            name: pairs.text(&key("name"))?.to_owned(),
-            idempotency: effect,
-            deduplication_window: pairs.get::<f64>(&key("repeat_window_us"))?.unwrap_or(0.0) as Micros,
-            first_token_objective: pairs.micros(&key("objective_us"))?,
-            first_token_objective_per_1000_tokens: per_1000.unwrap_or(0.0) as Micros,
-            inter_token_objective: inter_token_objective.unwrap_or(0.0) as Micros,
-            client_timeout: pairs.micros(&key("give_up_us"))?,
-            priority_weight: pairs.get(&key("value"))?.unwrap_or(1.0),
-            late_weight: pairs.get(&key("late_share"))?.unwrap_or(0.0),
-        });
-    }
-    let mut tenants = Vec::new();
-    for i in 0..pairs.get::<usize>("tenants.count")?.unwrap_or(0) {
-        tenants.push(Tenant {
-            name: pairs.text(&format!("tenants.{i}.name"))?.to_owned(),
-            quota_per_s: pairs.need(&format!("tenants.{i}.quota_rps"))?,
-        });
-    }
-    let reports = match pairs.0.get("load_report.how").copied() {
-        Some("answers") => LoadReporting::Responses,
-        Some("probe") => LoadReporting::HealthChecks,
-        Some("none") | None => LoadReporting::None,
-        Some(v) => return Err(bad("INIT", "load_report.how", v)),
-    };
-    let optional = |key: &str| pairs.get::<f64>(key).map(|v| v.map(|v| v as Micros));
-    Ok(Settings {
-        replica_index: pairs.get("self_index")?.unwrap_or(0),
-        replica_count: pairs.need::<u32>("replicas_of_me")?.max(1),
-        zone: pairs.text("my_zone")?.to_owned(),
-        worker_kinds: kinds,
-        classes,
-        tenants,
-        over_quota_weight: pairs.get("over_share_worth")?.unwrap_or(1.0),
-        load_reporting: reports,
-        watch_required: pairs.text("registry_mode")? == "on_request",
-        notification_delay: optional("rules.ask_within_us")?.unwrap_or(Micros::MAX),
-        health_checks_allowed: pairs.flag("permissions.probes")?,
-        gossip_allowed: pairs.flag("permissions.may_tell")?,
-        cancellation_allowed: pairs.flag("permissions.may_cancel")?,
-        hedging_allowed: pairs.flag("permissions.second_copies")?,
-        decode_can_prefill: pairs.flag("family_info.self_prefill")?,
-        retry_after_allowed: pairs.flag("permissions.retry_after")?,
-        max_retry_after: optional("permissions.max_retry_after_us")?.unwrap_or(0),
-        max_attempts: pairs.need("permissions.max_attempts")?,
-        connect_timeout: optional("permissions.connect_timeout_us")?.unwrap_or(0),
-        event_interval: optional("tick_us")?.unwrap_or(0),
-        cache_hold_limit: optional("family_info.release_us")?.unwrap_or(Micros::MAX),
-        answer_grace: optional("rules.answer_slack_us")?.unwrap_or(0),
-        drain_grace: pairs.micros("rules.drain_grace_us")?,
-        slow_start_floor: pairs.need("rules.cold_from")?,
-        slow_start_duration: pairs.micros("rules.cold_us")?,
-        overload_multiple: pairs.need("rules.fall_multiple")?,
-        overload_window: pairs.micros("rules.fall_us")?,
-    })
-}
-
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r', '\t'], " ")
 }
--- a/src/config/tests.rs
+++ b/src/wire_format/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is private to `config`.
+//! Tests of what the configuration and the simulator's wire share.
 
 use super::*;
 
@@ -6,9 +6,8 @@
 fn nested_settings_flatten_to_the_wire_s_paths() {
     let value = serde_json::json!({"a": {"b": [1.5, 2], "c": null, "name": "x y"},
         "classes": [{"n": "p"}, {"n": "q"}], "none": [], "on": true});
-    let mut pairs = Vec::new();
-    flatten("", &value, &mut pairs);
-    let text: Vec<String> = pairs.into_iter().map(|(k, v)| format!("{k}={v}")).collect();
+    let text: Vec<String> =
+        flatten_settings(&value).into_iter().map(|(key, value)| format!("{key}={value}")).collect();
     let wanted =
         ["a.b=1.5,2", "a.name=x_y", "classes.count=2", "classes.0.n=p", "classes.1.n=q", "none=", "on=true"];
     assert_eq!(text, wanted);
