--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! UpstreamClient decision modules on the simulator's wire: standard input to standard output.
+//! Runs the routing policy for the simulator: events on standard input, actions on standard output.
 
 use std::process::ExitCode;
 
--- a/src/wire_format/tests.rs
+++ b/src/wire_format/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of what the configuration and the simulator's wire share.
 
 use super::*;
+use crate::interface::LoadReport;
 
 #[test]
 fn nested_settings_flatten_to_the_wire_s_paths() {
@@ -12,3 +13,23 @@
         ["a.b=1.5,2", "a.name=x_y", "classes.count=2", "classes.0.n=p", "classes.1.n=q", "none=", "on=true"];
     assert_eq!(text, wanted);
 }
+
+#[test]
+fn load_reports_take_both_separators_and_skip_unknown_names() {
+    let report = parse_load_report("busy_reqs:3, pending=2,novelty:x,x0:0.5,x1:1.5").unwrap();
+    let wanted = LoadReport {
+        active_requests: Some(3.0),
+        queued_requests: Some(2.0),
+        memory_utilization: Some(0.5),
+        queued_tokens: Some(1500.0),
+    };
+    assert_eq!(report, wanted);
+}
+
+#[test]
+fn a_malformed_load_report_names_its_first_malformed_item() {
+    let missing = parse_load_report("busy_reqs:3,pending").unwrap_err();
+    assert_eq!(missing, LoadReportError::MissingValue { item: "pending".into() });
+    let invalid = parse_load_report("x0:much,pending").unwrap_err();
+    assert_eq!(invalid, LoadReportError::InvalidValue { item: "x0:much".into() });
+}
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,9 +1,9 @@
-//! Transcripts through the host program.
+//! Transcripts of the simulator's wire, run through the adapter.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn host(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -42,13 +42,13 @@
         "rules.fall_us=1000000",
         "a.key.nobody.knows=1",
     ];
-    let list = line(&["MEMBERSHIP", router, "SAVED", "1", "2"])
+    let endpoints = line(&["MEMBERSHIP", router, "SAVED", "1", "2"])
         + &line(&["ENTRY", "10.0.0.1:1", "here", "rd", "0", "in_service", "1", "-"])
         + &line(&["ENTRY", "10.0.0.2:1", "here", "wr", "0", "in_service", "1", "-"]);
-    line(&[&["INIT", router, "7"], &pairs[..]].concat()) + &list
+    line(&[&["INIT", router, "7"], &pairs[..]].concat()) + &endpoints
 }
 
-fn ask(router: &str, id: &str) -> String {
+fn request(router: &str, id: &str) -> String {
     line(&["ASK", router, id, "5000000", "-", "0", "-", "200", "900", "0", "-", "chat", "0"])
 }
 
@@ -58,18 +58,18 @@
 
 #[test]
 fn a_request_passes_both_stages() {
-    let closed = |hop: &str, worker: &str, how: &str, settled: &str, load: &str| {
-        line(&["CLOSED_ATTEMPT", "3", "9", hop, worker, how, "40000", settled, "0", load])
+    let attempt_ended = |attempt: &str, worker: &str, outcome: &str, finished: &str, load: &str| {
+        line(&["CLOSED_ATTEMPT", "3", "9", attempt, worker, outcome, "40000", finished, "0", load])
     };
-    let output = host(
+    let output = run_adapter(
         &(batch("1000000", "")
-            + &batch("1001000", &(init("3") + &ask("3", "9")))
+            + &batch("1001000", &(init("3") + &request("3", "9")))
             + &batch(
                 "1041000",
-                &closed("0", "10.0.0.1:1", "half_done", "0", "busy_reqs:1,x0:0.2,novelty:3"),
+                &attempt_ended("0", "10.0.0.1:1", "half_done", "0", "busy_reqs:1,x0:0.2,novelty:3"),
             )
             + &batch("1060000", &line(&["UNDER_WAY", "3", "9", "10.0.0.2:1", "19000", "1"]))
-            + &batch("1900000", &closed("1", "10.0.0.2:1", "served", "1", "-"))),
+            + &batch("1900000", &attempt_ended("1", "10.0.0.2:1", "served", "1", "-"))),
     );
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
@@ -82,21 +82,28 @@
 
 #[test]
 fn instances_are_separate_and_restart_within_a_batch() {
-    let events =
-        init("1") + &init("2") + &ask("1", "5") + &line(&["SHUTDOWN", "1"]) + &init("1") + &ask("2", "6");
+    let events = init("1")
+        + &init("2")
+        + &request("1", "5")
+        + &line(&["SHUTDOWN", "1"])
+        + &init("1")
+        + &request("2", "6");
     let late = line(&["CLOSED_ATTEMPT", "1", "5", "0", "10.0.0.1:1", "half_done", "1", "0", "0", "-"]);
-    let output = host(&(batch("1000000", &events) + &batch("1002000", &late)));
+    let output = run_adapter(&(batch("1000000", &events) + &batch("1002000", &late)));
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.contains("DELIVER\t1\t5\t") && text.contains("DELIVER\t2\t6\t"));
-    assert!(text.ends_with("OK\nOK\n"), "the new life knows nothing of the old one's request: {text}");
+    assert!(
+        text.ends_with("OK\nOK\n"),
+        "a restarted instance knows nothing of the earlier one's request: {text}"
+    );
 }
 
 #[test]
 fn the_same_transcript_gives_the_same_bytes() {
-    let all: String = (0..50).map(|i| ask("1", &i.to_string())).collect();
-    let input = batch("1000000", &(init("1") + &all)) + &batch("2000000", &line(&["ALARM", "1", "1"]));
-    assert_eq!(host(&input).stdout, host(&input).stdout);
+    let requests: String = (0..50).map(|i| request("1", &i.to_string())).collect();
+    let input = batch("1000000", &(init("1") + &requests)) + &batch("2000000", &line(&["ALARM", "1", "1"]));
+    assert_eq!(run_adapter(&input).stdout, run_adapter(&input).stdout);
 }
 
 #[test]
@@ -107,13 +114,13 @@
         (batch("x", ""), "line 1", "clock_us"),
         (batch("1000000", &(init("1") + "ASK\t1\tabc\n")), "line 6", "txn"),
         (batch("1000000", &(init("1") + "ASK\t1\t4\n")), "line 6", "client_deadline_us"),
-        (batch("1000000", &ask("8", "1")), "line 2", "router"),
+        (batch("1000000", &request("8", "1")), "line 2", "router"),
         ("TICK\t1000000\n".to_owned(), "line 2", "EOB"),
         (batch("1000000", &init("1").replace("my_zone=here\t", "")), "line 2", "my_zone"),
         ("EOB\n".to_owned(), "line 1", "TICK"),
     ];
     for (input, place, what) in cases {
-        let output = host(&input);
+        let output = run_adapter(&input);
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success(), "{input:?} was accepted");
         assert!(error.contains(place) && error.contains(what), "{input:?}: {error}");
@@ -122,7 +129,7 @@
 
 #[test]
 fn a_clean_end_is_a_success() {
-    let output = host(&batch("1000000", ""));
+    let output = run_adapter(&batch("1000000", ""));
     assert!(output.status.success());
     assert_eq!(output.stdout, b"OK\n");
 }
