--- a/src/main.rs
+++ b/src/main.rs
@@ -48,7 +48,7 @@
             println!("{USAGE}");
             Ok(())
         }
-        _ => Err(ConfigError(USAGE.to_owned())),
+        _ => Err(ConfigError::Other(USAGE.to_owned())),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
@@ -60,12 +60,12 @@
 }
 
 fn read(file: &str) -> Result<String, ConfigError> {
-    std::fs::read_to_string(file).map_err(|e| ConfigError(format!("{file}: {e}")))
+    std::fs::read_to_string(file).map_err(|e| ConfigError::Other(format!("{file}: {e}")))
 }
 
 /// Writes the operator's file to standard output, and what could not be carried over to standard error.
 fn import(text: &str) -> Result<(), ConfigError> {
-    let import = llm_router::import::haproxy::import(text).map_err(|e| ConfigError(e.to_string()))?;
+    let import = llm_router::import::haproxy::import(text).map_err(|e| ConfigError::Other(e.to_string()))?;
     print!("{}", import.file);
     for (line, what) in import.left_out {
         eprintln!("line {line}, not carried over: {what}");
@@ -91,14 +91,15 @@
 }
 
 fn platform_source() -> Result<Source, ConfigError> {
-    let file = std::env::var("NODE_CONFIG").map_err(|_| ConfigError("NODE_CONFIG is not set".into()))?;
+    let file =
+        std::env::var("NODE_CONFIG").map_err(|_| ConfigError::Other("NODE_CONFIG is not set".into()))?;
     Ok(Source { file, platform: true })
 }
 
 fn serve(source: Source, log: &Log) -> Result<(), ConfigError> {
     let config = source.load()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| ConfigError(format!("runtime: {e}")))?;
+    let runtime = runtime.map_err(|e| ConfigError::Other(format!("runtime: {e}")))?;
     let local = tokio::task::LocalSet::new();
     runtime.block_on(local.run_until(run(config, source, log)))
 }
@@ -139,14 +140,15 @@
 
 async fn run(mut config: Config, source: Source, log: &Log) -> Result<(), ConfigError> {
     // Before anything can be reached: until it is caught, SIGHUP ends the process.
-    let failed = |e: std::io::Error| ConfigError(format!("signals: {e}"));
+    let failed = |e: std::io::Error| ConfigError::Other(format!("signals: {e}"));
     let mut hangup = signal(SignalKind::hangup()).map_err(failed)?;
     let mut term = signal(SignalKind::terminate()).map_err(failed)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(failed)?;
     let mut usr1 = signal(SignalKind::user_defined1()).map_err(failed)?;
     let listener = listen(config.listen, config.limits.sockets);
     let bound = listener.and_then(|l| Ok((l.local_addr()?, l)));
-    let (address, listener) = bound.map_err(|e| ConfigError(format!("listen {}: {e}", config.listen)))?;
+    let (address, listener) =
+        bound.map_err(|e| ConfigError::Other(format!("listen {}: {e}", config.listen)))?;
     let counters = Rc::new(Counters::default());
     let clock = Clock::start();
     let (driver_handle, queue) = DriverHandle::channel(clock);
@@ -156,7 +158,7 @@
     let sockets = config.limits.sockets.saturating_sub(spare);
     let (to_hosts, to_clients) = (sockets * 9 / 20, sockets - sockets * 9 / 20);
     if to_hosts < 64 {
-        return Err(ConfigError(format!("limits.sockets: {} are too few", config.limits.sockets)));
+        return Err(ConfigError::Other(format!("limits.sockets: {} are too few", config.limits.sockets)));
     }
     let connect_timeout = Duration::from_micros(settings.connect_timeout.max(10_000));
     let limits = PoolLimits {
