--- /dev/null
+++ b/src/import/haproxy/operator_file.rs
@@ -0,0 +1,272 @@
+//! The operator's file that an import writes.
+//!
+//! The structures have the shape of the file. Their fields stand in the alphabetical order of the keys, in which the
+//! file has them.
+
+use super::directives::{Proxy, Server};
+use super::error::ImportErrorKind;
+use super::routes::{Backend, Routes};
+use crate::interface::Micros;
+use serde::Serialize;
+use std::net::SocketAddr;
+
+/// Descriptors beside those of connections.
+const RESERVED_SOCKETS: u64 = 64;
+/// The fewest descriptors that the router is given.
+const MIN_SOCKETS: u64 = 256;
+/// The one zone: HAProxy's configuration knows none.
+const ZONE: &str = "here";
+/// How long clients wait, where no timeout for servers says so.
+const DEFAULT_CLIENT_TIMEOUT: Micros = 30_000_000;
+/// The shortest client timeout, however short the timeout for servers is.
+const MIN_CLIENT_TIMEOUT: Micros = 1_000_000;
+/// The latency objective is the client timeout divided by this.
+const CLIENT_TIMEOUT_PER_OBJECTIVE: Micros = 4;
+/// HAProxy's own default.
+const DEFAULT_RETRIES: u64 = 3;
+/// Where no connect timeout is stated.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
+/// Where no keep-alive timeout is stated.
+const DEFAULT_IDLE_TIMEOUT: Micros = 30_000_000;
+
+/// What the servers of a backend do.
+#[derive(Clone, Copy, PartialEq, Serialize)]
+pub(super) enum Role {
+    #[serde(rename = "read")]
+    Prefill,
+    #[serde(rename = "write")]
+    Decode,
+    #[serde(rename = "both")]
+    Unified,
+}
+
+/// The role that a backend's name stands for.
+pub(super) fn role_of_backend(name: &str) -> Role {
+    match name {
+        "prompt" | "read" | "reader" | "readers" => Role::Prefill,
+        "answer" | "write" | "writer" | "writers" => Role::Decode,
+        _ => Role::Unified,
+    }
+}
+
+/// Writes the file's content.
+pub(super) fn write(routes: &Routes<'_>, max_connections: Option<u64>) -> Result<String, ImportErrorKind> {
+    let file = OperatorFile {
+        known: EndpointList {
+            workers: routes.backends.iter().flat_map(Worker::of_backend).collect(),
+            sequence: 1,
+            is_complete: true,
+        },
+        limits: max_connections.map(Limits::for_connections),
+        listen: routes.listen.address,
+        name: "imported",
+        settings: Settings::new(routes),
+    };
+    Ok(toml::to_string(&file)?)
+}
+
+#[derive(Serialize)]
+struct OperatorFile<'a> {
+    known: EndpointList<'a>,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    limits: Option<Limits>,
+    listen: SocketAddr,
+    name: &'static str,
+    settings: Settings<'a>,
+}
+
+#[derive(Serialize)]
+struct EndpointList<'a> {
+    #[serde(rename = "hosts")]
+    workers: Vec<Worker<'a>>,
+    #[serde(rename = "seq")]
+    sequence: u64,
+    #[serde(rename = "whole")]
+    is_complete: bool,
+}
+
+#[derive(Serialize)]
+struct Worker<'a> {
+    #[serde(rename = "class")]
+    kind: &'a str,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
+    #[serde(rename = "health")]
+    status: WorkerStatus,
+    #[serde(rename = "host")]
+    id: String,
+    #[serde(rename = "share")]
+    weight: f64,
+    #[serde(rename = "site")]
+    zone: &'static str,
+}
+
+#[derive(Serialize)]
+#[serde(rename_all = "lowercase")]
+enum WorkerStatus {
+    Ready,
+    Draining,
+}
+
+impl<'a> Worker<'a> {
+    fn of_backend(backend: &Backend<'a>) -> impl Iterator<Item = Self> {
+        let kind = backend.name;
+        backend.settings.servers.iter().map(move |server| Worker::new(kind, server))
+    }
+
+    fn new(kind: &'a str, server: &Server) -> Self {
+        Worker {
+            kind,
+            address: server.address,
+            status: if server.is_disabled { WorkerStatus::Draining } else { WorkerStatus::Ready },
+            id: format!("{kind}/{}", server.name),
+            weight: server.weight as f64,
+            zone: ZONE,
+        }
+    }
+}
+
+#[derive(Serialize)]
+struct Limits {
+    sockets: u64,
+}
+
+impl Limits {
+    /// Each of HAProxy's connections is one of a client, and needs one to a server.
+    fn for_connections(count: u64) -> Self {
+        Limits { sockets: (2 * count + RESERVED_SOCKETS).max(MIN_SOCKETS) }
+    }
+}
+
+#[derive(Serialize)]
+struct Settings<'a> {
+    classes: [Class; 1],
+    #[serde(rename = "family_info")]
+    model: ModelSettings,
+    #[serde(rename = "my_zone")]
+    zone: &'static str,
+    permissions: Permissions,
+    #[serde(rename = "registry_mode")]
+    discovery_mode: &'static str,
+    #[serde(rename = "replicas_of_me")]
+    replica_count: u32,
+    rules: Rules,
+    #[serde(rename = "skus")]
+    worker_kinds: Vec<&'a str>,
+}
+
+impl<'a> Settings<'a> {
+    fn new(routes: &Routes<'a>) -> Self {
+        let with_servers = routes.backends.iter().filter(|backend| !backend.settings.servers.is_empty());
+        let worker_kinds: Vec<&str> = with_servers.map(|backend| backend.name).collect();
+        Settings {
+            classes: [Class::new(routes)],
+            model: ModelSettings {
+                cache_hold_limit: 500_000,
+                roles: worker_kinds.iter().map(|kind| role_of_backend(kind)).collect(),
+            },
+            zone: ZONE,
+            permissions: Permissions::new(routes),
+            discovery_mode: "pushed",
+            replica_count: 1,
+            rules: Rules::WITHOUT_SLOW_START,
+            worker_kinds,
+        }
+    }
+}
+
+/// A class of requests.
+#[derive(Serialize)]
+struct Class {
+    #[serde(rename = "effect")]
+    idempotency: &'static str,
+    #[serde(rename = "give_up_us")]
+    client_timeout: Micros,
+    name: &'static str,
+    #[serde(rename = "objective_us")]
+    first_token_objective: Micros,
+}
+
+impl Class {
+    fn new(routes: &Routes<'_>) -> Self {
+        let server_timeout = stated(routes, |proxy| proxy.server_timeout);
+        let client_timeout = server_timeout.unwrap_or(DEFAULT_CLIENT_TIMEOUT).max(MIN_CLIENT_TIMEOUT);
+        Class {
+            idempotency: "non_idempotent",
+            client_timeout,
+            name: "default",
+            first_token_objective: client_timeout / CLIENT_TIMEOUT_PER_OBJECTIVE,
+        }
+    }
+}
+
+#[derive(Serialize)]
+struct ModelSettings {
+    #[serde(rename = "release_us")]
+    cache_hold_limit: Micros,
+    #[serde(rename = "role_by_kind")]
+    roles: Vec<Role>,
+}
+
+#[derive(Serialize)]
+struct Permissions {
+    #[serde(rename = "connect_timeout_us")]
+    connect_timeout: Micros,
+    #[serde(rename = "idle_close_us")]
+    idle_connection_timeout: Micros,
+    max_attempts: u64,
+    #[serde(rename = "max_retry_after_us")]
+    max_retry_after: Micros,
+    #[serde(rename = "may_cancel")]
+    cancellation_allowed: bool,
+    #[serde(rename = "retry_after")]
+    retry_after_allowed: bool,
+}
+
+impl Permissions {
+    fn new(routes: &Routes<'_>) -> Self {
+        let idle_connection_timeout = stated(routes, |proxy| proxy.keep_alive_timeout);
+        Permissions {
+            connect_timeout: stated(routes, |proxy| proxy.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            idle_connection_timeout: idle_connection_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            max_attempts: stated(routes, |proxy| proxy.retries).unwrap_or(DEFAULT_RETRIES) + 1,
+            max_retry_after: 2_000_000,
+            cancellation_allowed: true,
+            retry_after_allowed: true,
+        }
+    }
+}
+
+#[derive(Serialize)]
+struct Rules {
+    #[serde(rename = "answer_slack_us")]
+    answer_grace: Micros,
+    #[serde(rename = "cold_from")]
+    slow_start_floor: f64,
+    #[serde(rename = "cold_us")]
+    slow_start_duration: Micros,
+    #[serde(rename = "drain_grace_us")]
+    drain_grace: Micros,
+    #[serde(rename = "fall_multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "fall_us")]
+    overload_window: Micros,
+}
+
+impl Rules {
+    /// Workers count as warm from their start: nothing in HAProxy's configuration says how they warm up.
+    const WITHOUT_SLOW_START: Rules = Rules {
+        answer_grace: 16_000,
+        slow_start_floor: 1.0,
+        slow_start_duration: 0,
+        drain_grace: 1_000_000,
+        overload_multiple: 1000.0,
+        overload_window: 1_000_000,
+    };
+}
+
+/// A setting of the backends, else of the frontend: as in HAProxy, what concerns servers is stated where they are.
+fn stated(routes: &Routes<'_>, setting: fn(&Proxy) -> Option<u64>) -> Option<u64> {
+    let of_backend = routes.backends.iter().find_map(|backend| setting(backend.settings));
+    of_backend.or_else(|| setting(routes.frontend))
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -67,8 +67,8 @@
 fn import(text: &str) -> Result<(), ConfigError> {
     let import = llm_router::import::haproxy::import(text).map_err(|e| ConfigError::Other(e.to_string()))?;
     print!("{}", import.file);
-    for (line, what) in import.left_out {
-        eprintln!("line {line}, not carried over: {what}");
+    for omission in import.omissions {
+        eprintln!("line {}, not carried over: {}", omission.line, omission.description);
     }
     Ok(())
 }
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -11,14 +11,15 @@
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("haproxy-{}-{number}.cfg", std::process::id()));
     std::fs::write(&file, text).unwrap();
-    let done = Command::new(env!("CARGO_BIN_EXE_llm-router")).args(["import", "haproxy"]).arg(&file).output();
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_llm-router")).args(["import", "haproxy"]).arg(&file).output();
     std::fs::remove_file(&file).unwrap();
-    done.unwrap()
+    output.unwrap()
 }
 
 #[test]
 fn the_program_starts_from_what_was_imported_and_serves() {
-    let host = Peer::start(|message, conn| {
+    let worker = Peer::start(|message, conn| {
         if message.line.starts_with("POST") {
             conn.begin_stream();
             conn.delta("one");
@@ -34,13 +35,15 @@
          timeout server 1m\n    timeout client 30s\n    retries 5\n\nfrontend \"in\"\n    bind {bind}\n    \
          default_backend models\n    use_backend other if {{ path /x }}\n\nbackend models\n    balance leastconn\n    \
          server a {} check weight 20\n    server off {dead} disabled\n\nbackend other\n    server x {dead}\n",
-        host.address,
+        worker.address,
     );
-    let done = import(&text);
-    let (file, told) = (String::from_utf8(done.stdout).unwrap(), String::from_utf8(done.stderr).unwrap());
-    assert!(done.status.success(), "{told}");
-    for left in ["line 4", "line 10", "line 16", "line 19", "line 20", "line 23"] {
-        assert!(told.contains(left) && file.contains(&format!("# {left},")), "{left}: {told}\n{file}");
+    let output = import(&text);
+    let (file, report) =
+        (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
+    assert!(output.status.success(), "{report}");
+    for omitted in ["line 4", "line 10", "line 16", "line 19", "line 20", "line 23"] {
+        let is_reported = report.contains(omitted) && file.contains(&format!("# {omitted},"));
+        assert!(is_reported, "{omitted}: {report}\n{file}");
     }
     for carried in [
         "connect_timeout_us = 150000",
@@ -53,8 +56,8 @@
     }
     let router = RouterProcess::start(&file);
     assert_eq!(router.address, bind);
-    let answer = router.request("id-1", "default");
-    assert!(answer.status() == 200 && answer.whole, "{answer:?}");
+    let response = router.request("id-1", "default");
+    assert!(response.status() == 200 && response.whole, "{response:?}");
 }
 
 #[rstest]
@@ -73,9 +76,9 @@
 #[case::no_servers("listen a\n  bind 127.0.0.1:1\n", "line 3")]
 #[case::empty("", "line 1")]
 fn malformed_input_says_where_and_fails(#[case] text: &str, #[case] place: &str) {
-    let done = import(text);
-    let error = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success() && done.stdout.is_empty());
+    let output = import(text);
+    let error = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && output.stdout.is_empty());
     assert!(error.lines().count() == 1 && error.contains(&format!("{place}:")), "{error}");
 }
 
