--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -24,6 +24,7 @@
         self.message
     }
 
+    /// The next field as it stands.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, LineError> {
         let value = self.remaining.next();
         value.ok_or_else(|| LineError::MissingField { message: self.message.to_owned(), field })
@@ -34,11 +35,13 @@
         Ok(Some(self.text(field)?).filter(|value| *value != "-" && !value.is_empty()))
     }
 
+    /// A value that may be unstated.
     pub fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, LineError> {
         let value = self.optional_text(field)?;
         value.map(|text| text.parse().map_err(|_| self.invalid(field, text))).transpose()
     }
 
+    /// A value that has to be stated.
     pub fn required<T: FromStr>(&mut self, field: &'static str) -> Result<T, LineError> {
         self.optional(field)?.ok_or_else(|| self.invalid(field, "-"))
     }
@@ -53,6 +56,7 @@
         }
     }
 
+    /// Whether something holds; it does not when unstated.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, LineError> {
         match self.optional_text(field)? {
             Some("1") => Ok(true),
@@ -61,10 +65,12 @@
         }
     }
 
+    /// The name of a worker.
     pub fn worker(&mut self) -> Result<WorkerId, LineError> {
         self.text("worker").map(|name| WorkerId(Arc::from(name)))
     }
 
+    /// How an attempt or a health check ended.
     pub fn outcome(&mut self) -> Result<Outcome, LineError> {
         const FIELD: &str = "disposition";
         Ok(match self.text(FIELD)? {
@@ -81,6 +87,7 @@
         })
     }
 
+    /// A worker's load report, if there is one.
     pub fn load_report(&mut self) -> Result<Option<LoadReport>, LineError> {
         const FIELD: &str = "health_info";
         let Some(text) = self.optional_text(FIELD)? else { return Ok(None) };
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -86,7 +86,7 @@
         Ok((router, command))
     }
 
-    /// A policy that panics is reported and kept: the simulator decides what becomes of its router.
+    /// A policy that panics is reported and kept. Its actions of this event are lost; the simulator may restart it.
     fn handle_event(&mut self, router: u32, now: Micros, event: Event) -> io::Result<()> {
         let Some(policy) = self.policies.get_mut(&router) else { return Ok(()) };
         let mut actions = Vec::new();
--- a/src/wire_format/setting_values.rs
+++ b/src/wire_format/setting_values.rs
@@ -45,18 +45,22 @@
         SettingValues { by_key: pairs.collect() }
     }
 
+    /// A value that may be unstated.
     pub fn optional_text(&self, key: &str) -> Option<&'a str> {
         self.by_key.get(key).copied()
     }
 
+    /// A value that has to be stated.
     pub fn text(&self, key: &str) -> Result<&'a str, SettingsError> {
         self.optional_text(key).ok_or_else(|| SettingsError::missing(key))
     }
 
+    /// A value that may be unstated, parsed.
     pub fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         self.optional_text(key).map(|value| parse(key, value)).transpose()
     }
 
+    /// A value that has to be stated, parsed.
     pub fn required<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
         self.optional(key)?.ok_or_else(|| SettingsError::missing(key))
     }
