--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports of workers, in response headers and in the responses to health checks.
 
 use crate::interface::LoadReport;
-use crate::simulator::read_report;
+use crate::wire_format::parse_load_report;
 use hyper::HeaderMap;
 
 /// The load report in a response's headers. A report that can't be read counts as none: the response itself
@@ -16,5 +16,5 @@
 }
 
 fn parse(text: &str) -> Option<LoadReport> {
-    read_report(text).ok()
+    parse_load_report(text).ok()
 }
