--- /dev/null
+++ b/src/policy/context.rs
@@ -0,0 +1,74 @@
+//! What a decision may look at.
+
+use super::decode_choice::DecodeTimeouts;
+use super::latency_model::{LatencyModel, TimeoutBackoff};
+use super::load_view::LoadEstimator;
+use super::membership::Membership;
+use super::prefix_table::PrefixTable;
+use super::request::{Request, RequestTable};
+use crate::interface::{Class, Micros, Settings, WorkerId};
+
+/// A worker counts as slow from this multiple of its peers' median on: ordinary differences are noise.
+const SIGNIFICANT_SLOWNESS: f64 = 1.5;
+
+/// References to all that a decision depends on, at one moment. Decisions change nothing themselves.
+#[derive(Clone, Copy)]
+pub(super) struct DecisionContext<'a> {
+    /// What the deployment states.
+    pub settings: &'a Settings,
+    /// This router's seed.
+    pub seed: u64,
+    /// The present time.
+    pub now: Micros,
+    /// The workers.
+    pub membership: &'a Membership,
+    /// The requests in progress.
+    pub requests: &'a RequestTable,
+    /// What is presumed to be cached where.
+    pub prefixes: &'a PrefixTable,
+    /// Learned paces and sizes.
+    pub latency: &'a LatencyModel,
+    /// How long timeouts are extended.
+    pub timeout_backoff: &'a TimeoutBackoff,
+    /// Recent decode timeouts.
+    pub decode_timeouts: &'a DecodeTimeouts,
+}
+
+impl<'a> DecisionContext<'a> {
+    /// A request's class.
+    pub fn class(&self, request: &Request) -> &'a Class {
+        &self.settings.classes[request.class_index]
+    }
+
+    /// The priority weight of a request, which is less beyond its tenant's quota.
+    pub fn priority(&self, request: &Request) -> f64 {
+        let weight = self.class(request).priority_weight;
+        if request.over_quota { weight * self.settings.over_quota_weight } else { weight }
+    }
+
+    /// The latency objective for a request's first token, counted from when it was received.
+    pub fn first_token_objective(&self, request: &Request) -> Micros {
+        let class = self.class(request);
+        let per_1000_tokens = class.first_token_objective_per_1000_tokens as f64;
+        let length_part = per_1000_tokens * request.spec.prompt_tokens as f64 / 1000.0;
+        class.first_token_objective.saturating_add(length_part as Micros)
+    }
+
+    /// Estimates of the load at workers.
+    pub fn load(&self) -> LoadEstimator<'a> {
+        LoadEstimator::new(*self)
+    }
+
+    /// How much longer a worker takes than the median worker of its role: 1 for an ordinary one, and at least
+    /// what its slow start makes it.
+    pub fn relative_slowness(&self, id: &WorkerId) -> f64 {
+        let Some(worker) = self.membership.get(id) else { return 1.0 };
+        let peers = self.membership.iter().filter(|(_, peer)| peer.role == worker.role);
+        let mut slowness: Vec<f64> = peers.map(|(_, peer)| peer.slowness()).collect();
+        slowness.sort_by(f64::total_cmp);
+        let median = slowness[slowness.len() / 2];
+        let relative = worker.slowness() / median.max(0.1);
+        let relative = if relative < SIGNIFICANT_SLOWNESS { 1.0 } else { relative };
+        relative.max(1.0 / worker.slow_start.warm_fraction(self.settings, self.now))
+    }
+}
--- /dev/null
+++ b/src/policy/feedback.rs
@@ -0,0 +1,124 @@
+//! What the outcomes of attempts teach of workers, paces and timeouts.
+
+use super::decode_choice::DecodeTimeouts;
+use super::latency_model::{LatencyModel, PaceKind, TimeoutBackoff};
+use super::membership::Membership;
+use super::request::Attempt;
+use super::statistics::LOAD_HALF_LIFE;
+use super::worker::TrafficKey;
+use crate::interface::{Micros, Outcome, Settings, Stage, WorkerId};
+
+/// A worker that has rejected a request is not sent others of its class and tenant for this long, while
+/// another worker is left.
+const REJECTION_PERIOD: Micros = LOAD_HALF_LIFE / 2;
+
+/// An attempt that has ended.
+pub(super) struct EndedAttempt {
+    /// The attempt as it was in flight.
+    pub attempt: Attempt,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// How long it took, by the caller's measure.
+    pub elapsed: Micros,
+    /// Prompt tokens that the worker did not find cached.
+    pub uncached_tokens: f64,
+    /// Class and tenant of its request.
+    pub traffic: TrafficKey,
+}
+
+/// All that learns from outcomes, borrowed for one event.
+pub(super) struct Feedback<'a> {
+    /// The present time.
+    pub now: Micros,
+    /// What the deployment states.
+    pub settings: &'a Settings,
+    /// The workers.
+    pub membership: &'a mut Membership,
+    /// Learned paces and sizes.
+    pub latency: &'a mut LatencyModel,
+    /// How long timeouts are extended.
+    pub timeout_backoff: &'a mut TimeoutBackoff,
+    /// Recent decode timeouts.
+    pub decode_timeouts: &'a mut DecodeTimeouts,
+}
+
+impl Feedback<'_> {
+    /// Learns from an attempt whose stream has started after `elapsed`.
+    pub fn stream_started(&mut self, attempt: &Attempt, elapsed: Micros) {
+        self.timeout_backoff.record_success(Stage::Decode);
+        self.record_success(&attempt.worker);
+        self.record_pace(&attempt.worker, PaceKind::FirstToken(attempt.distance), elapsed, attempt.work);
+    }
+
+    /// Learns from an attempt that has ended.
+    pub fn attempt_ended(&mut self, ended: &EndedAttempt) {
+        let EndedAttempt { attempt, .. } = ended;
+        match ended.outcome {
+            Outcome::PrefillCompleted => self.prefill_completed(ended),
+            // A stream was a success when it started; an answer without one is a success now.
+            Outcome::Completed if attempt.started_at.is_none() => self.record_success(&attempt.worker),
+            Outcome::Rejected => {
+                let until = self.now + REJECTION_PERIOD;
+                if let Some(worker) = self.membership.get_mut(&attempt.worker) {
+                    worker.record_rejection(ended.traffic.clone(), until);
+                }
+            }
+            Outcome::TimedOut => self.timed_out(ended),
+            Outcome::WorkerError | Outcome::ConnectionLost => self.record_failure(attempt),
+            Outcome::ConnectFailed => {
+                if let Some(worker) = self.membership.get_mut(&attempt.worker) {
+                    worker.outlier.record_connect_failure(self.now, attempt.sent_at, self.settings);
+                }
+            }
+            Outcome::Completed | Outcome::CacheMissing | Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    fn prefill_completed(&mut self, ended: &EndedAttempt) {
+        let EndedAttempt { attempt, uncached_tokens, .. } = ended;
+        self.timeout_backoff.record_success(Stage::Prefill);
+        self.latency.uncached_tokens.add(*uncached_tokens);
+        self.record_success(&attempt.worker);
+        let work = attempt.work - attempt.tokens + uncached_tokens;
+        self.record_pace(&attempt.worker, PaceKind::Prefill, ended.elapsed, work);
+    }
+
+    fn timed_out(&mut self, ended: &EndedAttempt) {
+        let EndedAttempt { attempt, elapsed, .. } = ended;
+        self.timeout_backoff.record_timeout(attempt.stage, attempt.started_at.is_some());
+        // It would have taken at least this long: else timeouts under load would cause more timeouts.
+        let kind = PaceKind::of(attempt.stage, attempt.distance);
+        self.record_pace(&attempt.worker, kind, *elapsed, attempt.work);
+        self.record_failure(attempt);
+        match attempt.stage {
+            Stage::Decode => self.decode_timeouts.record(attempt.distance, self.now),
+            Stage::Prefill if self.settings.is_load_unobservable() => {
+                // Without a report, the timeout counts as if the worker had reported so much work.
+                let pace = self.latency.prefill_pace.value_or(f64::MAX).max(1e-9);
+                if let Some(worker) = self.membership.get_mut(&attempt.worker) {
+                    worker.load.add_peer_tokens(self.now, *elapsed as f64 / pace);
+                }
+            }
+            Stage::Prefill => {}
+        }
+    }
+
+    fn record_success(&mut self, worker: &WorkerId) {
+        if let Some(worker) = self.membership.get_mut(worker) {
+            worker.record_success(self.now);
+        }
+    }
+
+    fn record_failure(&mut self, attempt: &Attempt) {
+        if let Some(worker) = self.membership.get_mut(&attempt.worker) {
+            worker.outlier.record_failure(self.now, attempt.sent_at, self.settings);
+        }
+    }
+
+    fn record_pace(&mut self, worker: &WorkerId, kind: PaceKind, elapsed: Micros, work: f64) {
+        let ratio = self.latency.record(kind, elapsed, work);
+        if let Some(worker) = self.membership.get_mut(worker) {
+            worker.record_slowness(ratio);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/prefill_choice.rs
@@ -0,0 +1,216 @@
+//! The choice of a prefill worker, after Preble's E2 (exploitation and exploration).
+//!
+//! A prompt goes to the worker that caches most of it (exploitation) while that saves more than half of the
+//! prompt and the worker is not overloaded. Else it goes where it costs least (exploration): by the queue, by
+//! what it would evict, and by the tokens that have to be processed.
+
+use super::context::DecisionContext;
+use super::eligibility::EligibleWorker;
+use crate::hashing::unit_interval;
+use crate::interface::{RequestId, RequestSpec, Role, Stage, WorkerId};
+use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
+
+/// A worker whose load passes this multiple of the mean is not exploited (Preble's value).
+const MAX_LOAD_OVER_MEAN: f64 = 2.0;
+
+/// A prefix has one home more for each this many prefill workers: the most requested prefix may draw a tenth
+/// of all requests.
+const PREFILL_WORKERS_PER_HOME: u64 = 60;
+
+/// A prefill worker as one decision sees it.
+struct PrefillCandidate<'a> {
+    target: EligibleWorker<'a>,
+    relative_slowness: f64,
+    /// Tokens that wait there, weighted by its slowness.
+    load: f64,
+    /// Prompt tokens that are not cached there.
+    uncached_tokens: f64,
+    /// Its place among equals, by a hash that all routers share.
+    rank: u64,
+}
+
+impl PrefillCandidate<'_> {
+    fn choice(&self) -> PrefillChoice {
+        PrefillChoice { worker: self.target.id.clone(), uncached_tokens: self.uncached_tokens }
+    }
+}
+
+/// The prefill worker chosen for a request.
+pub(super) struct PrefillChoice {
+    /// The worker.
+    pub worker: WorkerId,
+    /// Prompt tokens that are not presumed to be cached there.
+    pub uncached_tokens: f64,
+}
+
+/// Chooses the prefill worker of one request.
+pub(super) struct PrefillChooser<'a> {
+    context: DecisionContext<'a>,
+    spec: &'a RequestSpec,
+    eligible: &'a [EligibleWorker<'a>],
+    /// What all routers hash alike for this prompt.
+    affinity_key: u64,
+}
+
+impl<'a> PrefillChooser<'a> {
+    /// A chooser among the eligible workers.
+    pub fn new(
+        context: DecisionContext<'a>,
+        spec: &'a RequestSpec,
+        eligible: &'a [EligibleWorker<'a>],
+    ) -> Self {
+        let affinity_key = affinity_key(spec, context.seed);
+        PrefillChooser { context, spec, eligible, affinity_key }
+    }
+
+    /// The worker, where `time_budget` is what a prefill may take in microseconds; `None` if none is
+    /// eligible.
+    pub fn choose(&self, time_budget: f64) -> Option<PrefillChoice> {
+        let home = self.rendezvous_home()?;
+        let candidates = self.candidates(home);
+        let chosen = (self.warming_up(&candidates, time_budget))
+            .or_else(|| self.exploited(&candidates, home))
+            .or_else(|| self.cheapest(&candidates))?;
+        Some(chosen.choice())
+    }
+
+    fn prompt_tokens(&self) -> f64 {
+        self.spec.prompt_tokens as f64
+    }
+
+    fn candidates(&self, home: &WorkerId) -> Vec<PrefillCandidate<'a>> {
+        let average_queue = self.average_reported_queue();
+        // Other routers send the same prefix to its home, too: it is presumed to be cached there.
+        let presumed_at_home = (self.spec.prefix_tokens as f64).min(self.prompt_tokens());
+        let candidate = |target: &EligibleWorker<'a>| {
+            let id = target.id;
+            let relative_slowness = self.context.relative_slowness(id);
+            let presumed = if id == home { presumed_at_home } else { 0.0 };
+            let cached = self.context.prefixes.cached_tokens(self.spec, id, self.context.now).max(presumed);
+            PrefillCandidate {
+                target: *target,
+                relative_slowness,
+                load: self.context.load().queued_tokens(id, average_queue) * relative_slowness,
+                uncached_tokens: self.prompt_tokens() - cached,
+                rank: xxh3_64_with_seed(id.0.as_bytes(), self.affinity_key),
+            }
+        };
+        self.eligible.iter().map(candidate).collect()
+    }
+
+    /// The queue that the eligible workers report on average, weighted by the trust in each report.
+    fn average_reported_queue(&self) -> f64 {
+        let mut tokens = 0.0;
+        let mut trust = 1e-9;
+        for target in self.eligible {
+            let reported = self.context.load().reported_queue(target.id);
+            tokens += reported.tokens * reported.trust;
+            trust += reported.trust;
+        }
+        tokens / trust
+    }
+
+    /// A worker that is warming up and has a slow-start token gets the next prompt that is cached nowhere, if
+    /// it can process it in time: with hundreds of routers no prompt would be sent there by itself before the
+    /// token lapses.
+    fn warming_up<'c>(
+        &self,
+        candidates: &'c [PrefillCandidate<'a>],
+        time_budget: f64,
+    ) -> Option<&'c PrefillCandidate<'a>> {
+        let is_cached_nowhere = candidates.iter().all(|c| c.uncached_tokens == self.prompt_tokens());
+        if self.spec.prefix.is_some() || !is_cached_nowhere {
+            return None;
+        }
+        let pace = self.context.latency.prefill_pace.value_or(0.0);
+        let is_in_time = |c: &PrefillCandidate| pace * c.uncached_tokens * c.relative_slowness <= time_budget;
+        let (settings, now) = (self.context.settings, self.context.now);
+        let warming_up = candidates
+            .iter()
+            .filter(|c| c.target.worker.slow_start.is_active(settings, now) && is_in_time(c));
+        warming_up.min_by_key(|c| c.rank)
+    }
+
+    /// The worker that caches most of the prompt, if that saves enough and its load is not too far over the
+    /// mean.
+    fn exploited<'c>(
+        &self,
+        candidates: &'c [PrefillCandidate<'a>],
+        home: &WorkerId,
+    ) -> Option<&'c PrefillCandidate<'a>> {
+        let prompt_tokens = self.prompt_tokens();
+        let is_home = |c: &PrefillCandidate| c.target.id == home;
+        let holders = candidates.iter().filter(|c| c.uncached_tokens < prompt_tokens || is_home(c));
+        let holder = holders.max_by(|a, b| {
+            (b.uncached_tokens.total_cmp(&a.uncached_tokens))
+                .then(b.load.total_cmp(&a.load))
+                .then(a.rank.cmp(&b.rank))
+        })?;
+        // On a slow worker the uncached tokens weigh as much as its slowness makes them. The home of a prefix
+        // always counts as its holder.
+        let saves_enough = prompt_tokens > 2.0 * holder.uncached_tokens * holder.relative_slowness;
+        let mean_load = candidates.iter().map(|c| c.load).sum::<f64>() / candidates.len() as f64;
+        let is_balanced = holder.load <= MAX_LOAD_OVER_MEAN * (mean_load + holder.uncached_tokens);
+        ((saves_enough || is_home(holder)) && is_balanced).then_some(holder)
+    }
+
+    /// The worker at which the prompt costs least.
+    ///
+    /// Every prefill that waits pays for tokens processed again: under load, moving a prompt away from where
+    /// it is cached feeds the very queue that it avoids, until nothing is found cached anywhere. Hence
+    /// uncached tokens weigh more with the number of prefills in flight.
+    fn cheapest<'c>(&self, candidates: &'c [PrefillCandidate<'a>]) -> Option<&'c PrefillCandidate<'a>> {
+        let in_flight = self.context.requests.in_flight();
+        let prefills = in_flight.filter(|attempt| attempt.stage == Stage::Prefill).count();
+        let congestion = 1.0 + prefills as f64 / self.eligible.len() as f64;
+        let cost = |c: &PrefillCandidate| {
+            c.load + self.eviction_cost(c) + c.uncached_tokens * c.relative_slowness * congestion
+        };
+        // Equals are told apart by a hash that all routers share, so that the next request of a session finds
+        // its prompt cached.
+        candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)).then(b.rank.cmp(&a.rank)))
+    }
+
+    /// What processing the uncached tokens would evict: the tokens cached there, weighted by how full the
+    /// worker's memory is and by how much of it the prefill needs.
+    fn eviction_cost(&self, candidate: &PrefillCandidate) -> f64 {
+        let EligibleWorker { id, worker } = candidate.target;
+        let cached = self.context.prefixes.total_cached_tokens(id);
+        let utilization = worker.load.memory_utilization().unwrap_or(cached / worker.memory_tokens);
+        let needed = (candidate.uncached_tokens / worker.memory_tokens).min(1.0);
+        cached * utilization.clamp(0.0, 1.0) * needed
+    }
+
+    /// The worker to which a prefix belongs: rendezvous hashing by weight, the same at every router of a
+    /// zone. A zone's own workers serve it as far as their share of all prefill workers goes.
+    ///
+    /// In a large fleet a prefix has several homes, and a session stays at one of them: guards against
+    /// prefixes that outgrow a home.
+    fn rendezvous_home(&self) -> Option<&'a WorkerId> {
+        let peak_prefill_workers = self.context.membership.peak_ready()[Role::Prefill as usize] as u64;
+        let home_count = 1 + peak_prefill_workers / PREFILL_WORKERS_PER_HOME;
+        let session = self.spec.session.as_ref();
+        let session_hash = session.map_or(0, |session| xxh3_64_with_seed(session.as_bytes(), 0));
+        let key = self.affinity_key ^ (session_hash % home_count);
+        let is_local = |target: &EligibleWorker| target.worker.zone == self.context.settings.zone;
+        let total_weight: f64 = self.eligible.iter().map(|target| target.worker.weight).sum();
+        let local_weight: f64 =
+            self.eligible.iter().filter(|t| is_local(t)).map(|target| target.worker.weight).sum();
+        let zone_count = self.context.membership.zone_count() as f64;
+        let local_share = local_weight * zone_count / total_weight.max(1e-9);
+        let stays_local = unit_interval(key ^ 1) < local_share;
+        let score = |target: &EligibleWorker| {
+            -target.worker.weight / unit_interval(xxh3_64_with_seed(target.id.0.as_bytes(), key)).ln()
+        };
+        let homes = self.eligible.iter().filter(|target| !stays_local || is_local(target));
+        let home = homes.max_by(|a, b| score(a).total_cmp(&score(b)).then(b.id.cmp(a.id)))?;
+        Some(home.id)
+    }
+}
+
+/// What all routers hash alike: the shared prefix, else the session; else a number of this router's own.
+fn affinity_key(spec: &RequestSpec, seed: u64) -> u64 {
+    let name = spec.prefix.as_ref().or(spec.session.as_ref());
+    let RequestId(id) = spec.request;
+    name.map_or(id ^ seed, |name| xxh3_64(name.as_bytes()))
+}
