--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,9 +1,9 @@
-//! The limits that the operators set for the modules of the policy.
+//! Limits on the size of the policy's modules.
 
 use std::fs;
 use std::path::PathBuf;
 
-const MAX_LINES: usize = 940;
+const MAX_LINES: usize = 400;
 const MAX_COLUMNS: usize = 110;
 
 fn policy_folder() -> PathBuf {
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn policy_modules_are_at_most_940_lines_of_110_characters() {
+fn policy_modules_are_at_most_400_lines_of_110_characters() {
     let files: Vec<PathBuf> = fs::read_dir(policy_folder()).unwrap().map(|f| f.unwrap().path()).collect();
     assert!(files.len() > 1, "the policy has no modules in {}", policy_folder().display());
     for file in files {
         let text = fs::read_to_string(&file).unwrap();
-        let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
-        assert!(lines <= MAX_LINES, "{}: {lines} lines that are not blank", file.display());
+        let lines = text.lines().count();
+        assert!(lines <= MAX_LINES, "{}: {lines} lines", file.display());
         for (i, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= MAX_COLUMNS, "{}:{} is too wide", file.display(), i + 1);
         }
--- a/tests/policy_admission.rs
+++ b/tests/policy_admission.rs
@@ -1,4 +1,4 @@
-//! What the module begins, lets wait and refuses, and how long it waits for a read.
+//! What the policy starts, queues and rejects, and the timeouts of prefills.
 
 #[path = "support/rig.rs"]
 mod rig;
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 
 #[test]
-fn reads_beyond_their_part_of_the_aim_wait_here_and_are_refused_in_time() {
+fn prefills_beyond_their_share_of_the_objective_are_queued_and_rejected_in_time() {
     let mut rig = Rig::fleet(settings());
     // Teach a slow pace: 2,000 tokens take 600 ms.
     for id in 1..20 {
-        rig.ask(id, "safe");
+        rig.request(id, "idempotent");
         rig.now += 600 * MS;
-        rig.event(Event::AttemptEnded(AttemptEnd {
+        rig.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(0),
             outcome: Outcome::PrefillCompleted,
@@ -23,39 +23,39 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Completed);
+        rig.end_attempt(id, 1, Outcome::Completed);
     }
-    let before = sends(&rig.log).len();
+    let before = send_targets(&rig.actions).len();
     for id in 100..120 {
-        rig.ask(id, "safe");
+        rig.request(id, "idempotent");
     }
-    let out = sends(&rig.log).len() - before;
-    assert!(out <= 4, "{out} reads out at two slow readers");
-    let asked = rig.now;
-    rig.pass(SECOND);
-    let refused = finals(&rig.log);
-    assert!(refused >= 14, "only {refused} were told within {} us", rig.now - asked);
+    let out = send_targets(&rig.actions).len() - before;
+    assert!(out <= 4, "{out} prefills in flight at two slow workers");
+    let received_at = rig.now;
+    rig.pass_time(SECOND);
+    let rejected = final_answer_count(&rig.actions);
+    assert!(rejected >= 14, "only {rejected} were rejected within {} us", rig.now - received_at);
     let advice = |a: &Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0);
-    assert!(rig.log.iter().filter(|a| matches!(a, Action::Reject { .. })).all(advice));
+    assert!(rig.actions.iter().filter(|a| matches!(a, Action::Reject { .. })).all(advice));
 }
 
-/// On a quiet day no session is refused, whatever its prompts are: each turn ends before the next one comes.
+/// Without load no session is rejected, whatever its prompts are: each request ends before the next one comes.
 #[test]
-fn no_session_is_refused_while_there_is_room() {
+fn no_session_is_rejected_while_there_is_capacity() {
     let mut rig = Rig::fleet(settings());
     for id in 0..600 {
         let session = id % 40;
         let prompt_tokens = 200 + 300 * session + 100 * (id / 40);
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             request: RequestId(id),
             session: Some(Arc::from(format!("s{session}"))),
             prompt_tokens,
-            ..ask(rig.now, ["safe", "once", "cell"][session as usize % 3])
+            ..request_spec(rig.now, ["idempotent", "non-idempotent", "cell-keyed"][session as usize % 3])
         };
-        rig.ask_with(ask);
-        rig.pass(20 * MS);
+        rig.receive(spec);
+        rig.pass_time(20 * MS);
         for (attempt, outcome) in [(0, Outcome::PrefillCompleted), (1, Outcome::Completed)] {
-            rig.event(Event::AttemptEnded(AttemptEnd {
+            rig.handle(Event::AttemptEnded(AttemptEnd {
                 request: RequestId(id),
                 attempt: AttemptIndex(attempt),
                 outcome,
@@ -66,20 +66,20 @@
             }));
         }
     }
-    assert_eq!(finals(&rig.log), 0, "refused or failed");
-    assert_eq!(sends(&rig.log).len(), 1200);
+    assert_eq!(final_answer_count(&rig.actions), 0, "rejected or failed");
+    assert_eq!(send_targets(&rig.actions).len(), 1200);
 }
 
-/// Guards against an admission that singles out long prompts: one that takes longer than its aim by itself is late
-/// wherever it goes, which is no reason to refuse it while a reader has room for it.
+/// Guards against an admission that singles out long prompts: one that takes longer than its latency objective by itself
+/// is late wherever it goes, which is no reason to reject it while a prefill worker has capacity for it.
 #[test]
-fn a_long_prompt_is_not_refused_while_there_is_room() {
+fn a_long_prompt_is_not_rejected_while_there_is_capacity() {
     let mut rig = Rig::fleet(settings());
     // Teach the pace: 2,000 tokens take 100 ms.
     for id in 1..40 {
-        rig.ask(id, "safe");
+        rig.request(id, "idempotent");
         rig.now += 100 * MS;
-        rig.event(Event::AttemptEnded(AttemptEnd {
+        rig.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(0),
             outcome: Outcome::PrefillCompleted,
@@ -88,37 +88,37 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Completed);
+        rig.end_attempt(id, 1, Outcome::Completed);
     }
-    // A short read is out at each reader.
+    // A short prefill is in flight at each worker.
     for id in 100..106 {
-        rig.ask(id, "safe");
+        rig.request(id, "idempotent");
     }
-    let long = ask(rig.now, "safe");
+    let long = request_spec(rig.now, "idempotent");
     let long = RequestSpec {
         request: RequestId(200),
         prompt_tokens: 60_000,
         deadline: rig.now + 8 * SECOND,
         ..long
     };
-    let mut actions = rig.ask_with(long);
-    actions.extend(rig.pass(100 * MS));
+    let mut actions = rig.receive(long);
+    actions.extend(rig.pass_time(100 * MS));
     for id in 100..106 {
-        actions.extend(rig.end(id, 0, Outcome::PrefillCompleted));
+        actions.extend(rig.end_attempt(id, 0, Outcome::PrefillCompleted));
     }
-    let refused = |a: &Action| matches!(a, Action::Reject { request: RequestId(200), .. });
+    let rejected = |a: &Action| matches!(a, Action::Reject { request: RequestId(200), .. });
     let sent = |a: &Action| matches!(a, Action::Send { request: RequestId(200), .. });
-    assert!(!actions.iter().any(refused) && actions.iter().any(sent), "{actions:?}");
+    assert!(!actions.iter().any(rejected) && actions.iter().any(sent), "{actions:?}");
 }
 
 #[test]
-fn what_cannot_begin_before_its_client_leaves_is_refused_at_once() {
-    // Found in an incident: clients left sooner than a read takes, and every read was wasted.
+fn what_cannot_start_before_its_client_gives_up_is_rejected_at_once() {
+    // Found in an incident: clients gave up sooner than a prefill takes, and every prefill was wasted.
     let mut rig = Rig::fleet(settings());
     for id in 1..5 {
-        rig.ask(id, "safe");
+        rig.request(id, "idempotent");
         rig.now += 300 * MS;
-        rig.event(Event::AttemptEnded(AttemptEnd {
+        rig.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(0),
             outcome: Outcome::PrefillCompleted,
@@ -127,23 +127,27 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Completed);
+        rig.end_attempt(id, 1, Outcome::Completed);
     }
-    // One request of ours is out, so this one isn't needed to learn from.
-    rig.ask(50, "safe");
-    let hasty = RequestSpec { request: RequestId(51), deadline: rig.now + 150 * MS, ..ask(rig.now, "safe") };
-    let actions = rig.ask_with(hasty);
-    assert_eq!((sends(&actions).len(), finals(&actions)), (0, 1), "{actions:?}");
+    // One request is in flight already, so this one isn't needed to learn paces from.
+    rig.request(50, "idempotent");
+    let hasty = RequestSpec {
+        request: RequestId(51),
+        deadline: rig.now + 150 * MS,
+        ..request_spec(rig.now, "idempotent")
+    };
+    let actions = rig.receive(hasty);
+    assert_eq!((send_targets(&actions).len(), final_answer_count(&actions)), (0, 1), "{actions:?}");
 }
 
 #[test]
-fn beyond_its_share_a_tenant_is_refused_when_others_wait() {
+fn a_tenant_beyond_its_quota_is_rejected_when_others_wait() {
     let tenants = vec![Tenant { name: "small".into(), quota_per_s: 2.0 }];
     let mut rig = Rig::fleet(Settings { tenants, ..settings() });
     for id in 1..5 {
-        rig.ask(id, "safe");
+        rig.request(id, "idempotent");
         rig.now += 900 * MS;
-        rig.event(Event::AttemptEnded(AttemptEnd {
+        rig.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(0),
             outcome: Outcome::PrefillCompleted,
@@ -152,66 +156,75 @@
             cached_tokens: 0,
             report: None,
         }));
-        rig.end(id, 1, Outcome::Completed);
+        rig.end_attempt(id, 1, Outcome::Completed);
     }
     for id in 10..40 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(RequestSpec { request: RequestId(id), tenant, ..ask(rig.now, "safe") });
+        rig.receive(RequestSpec { request: RequestId(id), tenant, ..request_spec(rig.now, "idempotent") });
     }
-    let refused = finals(&rig.log);
-    assert!(refused >= 10, "only {refused} of thirty at once, far past the share, were refused");
+    let rejected = final_answer_count(&rig.actions);
+    assert!(rejected >= 10, "only {rejected} of thirty at once, far beyond the quota, were rejected");
 }
 
-/// A hundred routers each see a few requests of a tenant: chance arrivals are no excess.
+/// A hundred routers each receive a few requests of a tenant: chance arrivals are no excess.
 #[test]
-fn a_few_requests_at_once_are_not_over_share_at_one_of_many_routers() {
+fn a_few_requests_at_once_are_within_quota_at_one_of_many_routers() {
     let tenants = vec![Tenant { name: "small".into(), quota_per_s: 2.0 }];
     let mut rig = Rig::fleet(Settings { replica_count: 200, tenants, ..settings() });
     for id in 1..6 {
         let tenant = Some("small".to_owned());
-        rig.ask_with(RequestSpec { request: RequestId(id), tenant, ..ask(rig.now, "safe") });
+        rig.receive(RequestSpec { request: RequestId(id), tenant, ..request_spec(rig.now, "idempotent") });
     }
-    assert_eq!(finals(&rig.log), 0);
+    assert_eq!(final_answer_count(&rig.actions), 0);
 }
 
-/// Found on the engines deployment: prompts so long to read that whoever gives a read up comes too late anyway, while
-/// the reader goes on with it.
+/// Found on the engines deployment: prompts so long that a prefill after a timeout comes too late anyway, while the
+/// first worker goes on with the one that was given up.
 #[test]
-fn a_read_is_waited_for_where_another_one_would_be_late_too() {
+fn a_prefill_gets_more_time_where_another_one_would_be_late_too() {
     let timeout = |first_token_objective_per_1000_tokens, reports| {
-        let classes =
-            vec![Class { first_token_objective_per_1000_tokens, ..class("safe", Idempotency::Idempotent) }];
+        let classes = vec![Class {
+            first_token_objective_per_1000_tokens,
+            ..class("idempotent", Idempotency::Idempotent)
+        }];
         let mut rig = Rig::fleet(Settings { classes, load_reporting: reports, ..settings() });
         let deadline = rig.now + 8 * SECOND;
-        let sent = rig.ask_with(RequestSpec { prompt_tokens: 8_000, deadline, ..ask(rig.now, "safe") });
+        let sent = rig.receive(RequestSpec {
+            prompt_tokens: 8_000,
+            deadline,
+            ..request_spec(rig.now, "idempotent")
+        });
         sent.iter().find_map(|a| match a {
             Action::Send { timeout, .. } => *timeout,
             _ => None,
         })
     };
-    // 8,000 tokens grant 1.2 s more: after two thirds of the aim, another whole read comes too late for it.
+    // 8,000 tokens grant 1.2 s more: after two thirds of the objective, another whole prefill is too late for it.
     assert_eq!(timeout(150 * MS, LoadReporting::None), Some(8 * SECOND - 1_200 * MS));
-    // Of an aim of 1.08 s another read takes 80 ms.
+    // Of an objective of 1.08 s another prefill takes 80 ms.
     assert_eq!(timeout(10 * MS, LoadReporting::None), Some(720 * MS));
-    // Where readers tell of their queues, a long wait tells of a reader that hangs.
+    // Where prefill workers report their queues, a long wait shows a worker that hangs.
     assert_eq!(timeout(150 * MS, LoadReporting::Responses), Some(2_200 * MS / 3));
 }
 
-/// Found in ticket5632: where every read takes longer than its time-out, readers read for nobody. The time-out's floor
-/// has to give way, too, and come back with the reads.
+/// Found in ticket5632: where every prefill takes longer than its timeout, workers process prompts for nobody. The least
+/// timeout has to grow, too, and to shrink again as prefills complete.
 #[test]
-fn reads_given_up_make_the_next_one_wait_longer_until_reads_end_again() {
+fn prefill_timeouts_extend_the_next_timeout_until_prefills_complete_again() {
     let mut rig = Rig::fleet(settings());
     let timeout = |rig: &mut Rig, id, outcome| {
         let request = RequestId(id);
-        let sent =
-            rig.ask_with(RequestSpec { request, deadline: rig.now + 60 * SECOND, ..ask(rig.now, "safe") });
+        let sent = rig.receive(RequestSpec {
+            request,
+            deadline: rig.now + 60 * SECOND,
+            ..request_spec(rig.now, "idempotent")
+        });
         let timeouts = sent.iter().find_map(|a| match a {
             Action::Send { timeout, .. } => *timeout,
             _ => None,
         });
-        rig.end(id, 0, outcome);
-        rig.event(Event::ClientDisconnected { request });
+        rig.end_attempt(id, 0, outcome);
+        rig.handle(Event::ClientDisconnected { request });
         timeouts.unwrap()
     };
     let floor = timeout(&mut rig, 1, Outcome::PrefillCompleted);
@@ -222,23 +235,23 @@
     assert_eq!(timeout(&mut rig, 6, Outcome::PrefillCompleted), floor);
 }
 
-/// Found in a release that left two of eight writers warm: states went from one jammed writer to the next until their
-/// clients left, and made all others late.
+/// Found in a release that left two of eight decode workers warm: requests went from one congested worker to the next
+/// until their clients gave up, and made all others late.
 #[test]
-fn a_late_state_that_a_writer_did_not_begin_in_time_is_given_up_at_once() {
-    for (waited, tried_again) in [(200 * MS, true), (SECOND, false)] {
+fn a_late_request_is_rejected_as_soon_as_its_decode_times_out() {
+    for (waited, is_retried) in [(200 * MS, true), (SECOND, false)] {
         let mut rig = Rig::fleet(settings());
-        rig.ask(1, "safe");
-        rig.end(1, 0, Outcome::PrefillCompleted);
+        rig.request(1, "idempotent");
+        rig.end_attempt(1, 0, Outcome::PrefillCompleted);
         rig.now += waited;
-        let next = rig.end(1, 1, Outcome::TimedOut);
-        assert_eq!(sends(&next).len(), usize::from(tried_again), "after {waited} us");
-        assert_eq!(finals(&next), usize::from(!tried_again), "after {waited} us");
-        assert_eq!(next.contains(&Action::ReleaseCache { request: RequestId(1) }), !tried_again);
+        let next = rig.end_attempt(1, 1, Outcome::TimedOut);
+        assert_eq!(send_targets(&next).len(), usize::from(is_retried), "after {waited} us");
+        assert_eq!(final_answer_count(&next), usize::from(!is_retried), "after {waited} us");
+        assert_eq!(next.contains(&Action::ReleaseCache { request: RequestId(1) }), !is_retried);
     }
-    // Late for another reason, its state is still worth a writer.
+    // A request that is late for another reason still gets a decode worker.
     let mut rig = Rig::fleet(settings());
-    rig.ask(1, "safe");
+    rig.request(1, "idempotent");
     rig.now += SECOND;
-    assert_eq!(sends(&rig.end(1, 0, Outcome::PrefillCompleted)).len(), 1);
+    assert_eq!(send_targets(&rig.end_attempt(1, 0, Outcome::PrefillCompleted)).len(), 1);
 }
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -1,4 +1,7 @@
-//! A decision module under test: its fleet, its clock, and all that it has done.
+//! A policy under test: its fleet, its clock, and all actions that it has taken.
+//!
+//! Names of workers begin with their kind: r for prefill, w for decode and m for unified workers. Placement hashes the
+//! names, so tests depend on them.
 #![allow(dead_code)]
 
 use llm_router::Policy;
@@ -8,10 +11,10 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(name: &str, effect: Idempotency) -> Class {
+pub fn class(name: &str, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
-        idempotency: effect,
+        idempotency,
         deduplication_window: 5 * SECOND,
         first_token_objective: SECOND,
         inter_token_objective: 60 * MS,
@@ -28,9 +31,9 @@
         zone: "z".into(),
         worker_kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode), kind("m", Role::Unified)],
         classes: vec![
-            class("safe", Idempotency::Idempotent),
-            class("once", Idempotency::NonIdempotent),
-            class("cell", Idempotency::Keyed(DeduplicationScope::Cell)),
+            class("idempotent", Idempotency::Idempotent),
+            class("non-idempotent", Idempotency::NonIdempotent),
+            class("cell-keyed", Idempotency::Keyed(DeduplicationScope::Cell)),
         ],
         max_attempts: 5,
         cancellation_allowed: true,
@@ -49,57 +52,57 @@
     }
 }
 
-/// A module under test, with its clock and all that it has done.
+/// A policy under test, with its clock and all actions that it has taken.
 pub struct Rig {
     pub policy: Policy,
     pub now: Micros,
-    pub log: Vec<Action>,
+    pub actions: Vec<Action>,
     pub timers: Vec<Micros>,
 }
 
 impl Rig {
     pub fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings, 7);
-        Rig { policy, now: 100 * SECOND, log: Vec::new(), timers: Vec::new() }
+        Rig { policy, now: 100 * SECOND, actions: Vec::new(), timers: Vec::new() }
     }
 
-    /// Two readers and three writers in two cells of one zone.
+    /// Two prefill and three decode workers in two cells of one zone.
     pub fn fleet(settings: Settings) -> Self {
         let mut rig = Rig::new(settings);
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
-        rig.list(
+        rig.update_endpoints(
             UpdateKind::Restored,
-            list.iter().map(|(w, cell)| entry(w, *cell, WorkerStatus::Ready, None)).collect(),
+            list.iter().map(|(w, cell)| endpoint(w, *cell, WorkerStatus::Ready, None)).collect(),
         );
         rig
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         self.timers.extend(out.iter().filter_map(|a| match a {
             Action::SetTimer { at, .. } => Some(*at),
             _ => None,
         }));
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
-    pub fn list(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointsUpdated { kind, endpoints: entries })
+    pub fn update_endpoints(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.handle(Event::EndpointsUpdated { kind, endpoints: entries })
     }
 
-    pub fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
-        self.ask_with(RequestSpec { request: RequestId(id), ..ask(self.now, class) })
+    pub fn request(&mut self, id: u64, class: &str) -> Vec<Action> {
+        self.receive(RequestSpec { request: RequestId(id), ..request_spec(self.now, class) })
     }
 
-    pub fn ask_with(&mut self, ask: RequestSpec) -> Vec<Action> {
-        self.event(Event::RequestReceived(ask))
+    pub fn receive(&mut self, spec: RequestSpec) -> Vec<Action> {
+        self.handle(Event::RequestReceived(spec))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let settled = outcome == Outcome::Completed;
-        self.event(Event::AttemptEnded(AttemptEnd {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(attempt),
             outcome,
@@ -111,7 +114,7 @@
     }
 
     /// Lets time pass, handing timers back when they are due.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
         let (until, mut out) = (self.now + time, Vec::new());
         loop {
             self.timers.sort_unstable();
@@ -119,14 +122,14 @@
                 break;
             }
             self.now = self.now.max(self.timers.remove(0));
-            out.extend(self.event(Event::Timer(TimerId(1))));
+            out.extend(self.handle(Event::Timer(TimerId(1))));
         }
         self.now = until;
         out
     }
 }
 
-pub fn ask(now: Micros, class: &str) -> RequestSpec {
+pub fn request_spec(now: Micros, class: &str) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
         deadline: now + 4 * SECOND,
@@ -141,13 +144,13 @@
     }
 }
 
-pub fn entry(name: &str, cell: u64, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
+pub fn endpoint(name: &str, cell: u64, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
     Endpoint { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started_at: started }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<&str> {
+pub fn send_targets(actions: &[Action]) -> Vec<&str> {
     let to = |a: &'_ Action| if let Action::Send { worker, .. } = a { Some(worker.0.clone()) } else { None };
     let names: Vec<Arc<str>> = actions.iter().filter_map(to).collect();
     names
@@ -161,15 +164,15 @@
         .collect()
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+pub fn final_answer_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
 
-pub fn releases(actions: &[Action]) -> usize {
+pub fn cache_release_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::ReleaseCache { .. })).count()
 }
 
-/// Whether a request is answered as failed.
-pub fn fails(actions: &[Action], request: u64) -> bool {
+/// Whether a request has a failure as its final answer.
+pub fn has_failed(actions: &[Action], request: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request: failed, .. } if failed.0 == request))
 }
