--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,6 +6,7 @@
 use super::eligibility::eligible_workers;
 use super::prefill_choice::{PrefillChoice, PrefillChooser};
 use super::request::{Request, RequestPhase};
+use super::tenant_quotas::QuotaStatus;
 use super::worker::Distance;
 use crate::interface::{EndReason, Role, Stage, WorkerId};
 
@@ -52,7 +53,7 @@
         let unified_workers = eligible_workers(context, Role::Unified, request);
         let decode_workers = eligible_workers(context, Role::Decode, request);
         let decode_worker_count = decode_workers.len() + unified_workers.len();
-        let average_prompt = context.latency.prompt_tokens.value_or(0.0);
+        let average_prompt = context.latency.prompt_tokens().value_or(0.0);
         let is_short = request.spec.prompt_tokens as f64 <= average_prompt;
         let no_prefill_worker = prefill_workers.is_empty();
         let to_unified = !unified_workers.is_empty() && (is_short || no_prefill_worker);
@@ -106,7 +107,7 @@
         Admission::Reject(EndReason::CannotStartInTime)
     } else if feasibility.is_late() {
         Admission::Reject(EndReason::ObjectiveUnreachable)
-    } else if request.over_quota {
+    } else if request.quota == QuotaStatus::Exceeded {
         Admission::Reject(EndReason::OverQuota)
     } else {
         Admission::Wait
@@ -134,25 +135,25 @@
     /// What a prefill of this work takes, with the one that may be in progress.
     fn prefill_time(&self, work: f64) -> f64 {
         let latency = self.context.latency;
-        let in_progress = latency.uncached_tokens.value_or(0.0);
-        latency.prefill_pace.value_or(0.0) * (work + in_progress) * self.relative_slowness
+        let in_progress = latency.uncached_tokens().value_or(0.0);
+        latency.prefill_time_per_token().value_or(0.0) * (work + in_progress) * self.relative_slowness
     }
 
     /// What a first token takes after a prefill of this work, with the one that may be in progress.
     fn first_token_time(&self, work: f64) -> f64 {
         let latency = self.context.latency;
-        let pace = match self.route.stage {
-            PlannedStage::Prefill { .. } => latency.first_token_pace,
-            PlannedStage::Decode => latency.decode_pace(Distance::Remote),
+        let time_per_token = match self.route.stage {
+            PlannedStage::Prefill { .. } => latency.first_token_time_per_token(),
+            PlannedStage::Decode => latency.decode_time_per_token(Distance::Remote),
         };
-        pace.value_or(0.0) * (work + latency.prompt_tokens.value_or(0.0))
+        time_per_token.value_or(0.0) * (work + latency.prompt_tokens().value_or(0.0))
     }
 
     /// Prompt tokens of the requests that are on their way to a decode worker.
     fn started_prompts(&self) -> impl Iterator<Item = f64> {
         let is_started = |request: &&Request| {
             matches!(
-                request.phase,
+                request.phase(),
                 RequestPhase::Prefilling
                     | RequestPhase::AwaitingDecode { .. }
                     | RequestPhase::DecodeRequested { .. }
@@ -176,9 +177,9 @@
 
     /// Whether the answer cannot begin before the client leaves, so that a prefill would be wasted.
     ///
-    /// Guards against short client deadlines and long prompts; could reject too much while paces are learned
-    /// from congestion that has just ended. Hence a request is tried all the same while no other has started,
-    /// or the paces would never be learned anew.
+    /// Guards against short client deadlines and long prompts; could reject too much while latencies are
+    /// learned from congestion that has just ended. Hence a request is tried all the same while no other has
+    /// started, or latencies would never be learned again.
     fn cannot_start_in_time(&self) -> bool {
         let time_left = self.request.spec.deadline.saturating_sub(self.context.now) as f64;
         let prefill_time = self.prefill_time(self.queued_tokens + self.uncached_tokens);
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -66,9 +66,9 @@
 /// Whether a request may be sent to a worker now.
 fn is_allowed(context: DecisionContext<'_>, request: &Request, worker: &Worker) -> bool {
     let may_run_again = !request.may_have_run() || retry::may_retry_at(context, request, worker);
-    let has_attempts_left = (request.attempts.len() as u32) < context.settings.max_attempts;
+    let has_attempts_left = (request.attempts().len() as u32) < context.settings.max_attempts;
     let has_attempt_in_flight = request.in_flight().next().is_some();
-    !request.phase.is_answer_started()
+    !request.phase().is_answer_started()
         && may_run_again
         && has_attempts_left
         && !has_attempt_in_flight
@@ -88,7 +88,7 @@
     /// Prompt tokens that are not presumed to be cached at the worker; all of them for a decode.
     uncached_tokens: f64,
     /// Time for each token of work.
-    pace: f64,
+    time_per_token: f64,
     relative_slowness: f64,
 }
 
@@ -102,21 +102,21 @@
     ) -> Self {
         let latency = context.latency;
         let prompt_tokens = request.spec.prompt_tokens as f64;
-        let holder = request.phase.held_cache().and_then(|cache| context.membership.get(&cache.worker));
+        let holder = request.phase().held_cache().and_then(|cache| context.membership.get(&cache.worker));
         let distance = holder.map_or(Distance::Remote, |holder| holder.distance_to(worker));
-        let (uncached_tokens, tokens, work, pace) = match planned {
+        let (uncached_tokens, tokens, work, time_per_token) = match planned {
             PlannedStage::Prefill { uncached_tokens } => {
                 let queued_tokens = context.load().queued_tokens(worker_id, 0.0);
-                let in_progress = latency.uncached_tokens.value_or(prompt_tokens);
+                let in_progress = latency.uncached_tokens().value_or(prompt_tokens);
                 let work = queued_tokens + uncached_tokens + in_progress;
-                (uncached_tokens, uncached_tokens, work, latency.prefill_pace)
+                (uncached_tokens, uncached_tokens, work, latency.prefill_time_per_token())
             }
             PlannedStage::Decode => {
                 let queued = context.requests.in_flight_at(worker_id).filter(|a| a.started_at.is_none());
                 let queued_tokens = queued.map(|attempt| attempt.tokens).sum::<f64>();
-                let work = queued_tokens + prompt_tokens + latency.prompt_tokens.value_or(0.0);
+                let work = queued_tokens + prompt_tokens + latency.prompt_tokens().value_or(0.0);
                 let tokens = prompt_tokens + request.expected_output_tokens(context.class(request));
-                (prompt_tokens, tokens, work, latency.decode_pace(distance))
+                (prompt_tokens, tokens, work, latency.decode_time_per_token(distance))
             }
         };
         AttemptEstimate {
@@ -127,7 +127,7 @@
             tokens,
             work,
             uncached_tokens,
-            pace: pace.value_or(0.0),
+            time_per_token: time_per_token.value_or(0.0),
             relative_slowness: context.relative_slowness(worker_id),
         }
     }
@@ -176,14 +176,14 @@
     fn retry_time(&self, objective: f64) -> f64 {
         let latency = self.context.latency;
         let prompt_tokens = self.prompt_tokens();
-        let measured = self.pace * (prompt_tokens + latency.uncached_tokens.value_or(0.0));
+        let measured = self.time_per_token * (prompt_tokens + latency.uncached_tokens().value_or(0.0));
         let granted = objective - self.context.class(self.request).first_token_objective as f64;
-        let first_token_work = prompt_tokens + latency.prompt_tokens.value_or(0.0);
-        measured.max(granted) + latency.first_token_pace.value_or(0.0) * first_token_work
+        let first_token_work = prompt_tokens + latency.prompt_tokens().value_or(0.0);
+        measured.max(granted) + latency.first_token_time_per_token().value_or(0.0) * first_token_work
     }
 
     fn processing_time(&self, work: f64) -> f64 {
-        self.pace * work * self.relative_slowness
+        self.time_per_token * work * self.relative_slowness
     }
 
     fn prompt_tokens(&self) -> f64 {
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -6,6 +6,7 @@
 use super::membership::Membership;
 use super::prefix_table::PrefixTable;
 use super::request::{Request, RequestTable};
+use super::tenant_quotas::QuotaStatus;
 use crate::interface::{Class, Micros, Settings, WorkerId};
 
 /// A worker counts as slow from this multiple of its peers' median on: ordinary differences are noise.
@@ -26,7 +27,7 @@
     pub requests: &'a RequestTable,
     /// What is presumed to be cached where.
     pub prefixes: &'a PrefixTable,
-    /// Learned paces and sizes.
+    /// Learned latencies and sizes.
     pub latency: &'a LatencyModel,
     /// How long timeouts are extended.
     pub timeout_backoff: &'a TimeoutBackoff,
@@ -43,7 +44,10 @@
     /// The priority weight of a request, which is less beyond its tenant's quota.
     pub fn priority(&self, request: &Request) -> f64 {
         let weight = self.class(request).priority_weight;
-        if request.over_quota { weight * self.settings.over_quota_weight } else { weight }
+        match request.quota {
+            QuotaStatus::Within => weight,
+            QuotaStatus::Exceeded => weight * self.settings.over_quota_weight,
+        }
     }
 
     /// The latency objective for a request's first token, counted from when it was received.
--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -16,7 +16,7 @@
 
 /// First tokens from afar that take this many times as long as near ones show slow links: deployments state
 /// up to 2.7 for the distance between zones.
-const SLOW_LINK_PACE_RATIO: f64 = 3.0;
+const SLOW_LINK_LATENCY_RATIO: f64 = 3.0;
 
 /// From so many recent timeouts of KV caches from afar on, all requests stay near.
 const REMOTE_TIMEOUTS_TO_STAY_NEAR: f64 = 0.5;
@@ -122,8 +122,8 @@
         places.into_iter().find_map(|(distance, candidate, locality_share)| {
             let allowance = SIGNIFICANTLY_FULLER
                 * self.load_uncertainty(distance)
-                * self.pace_advantage(distance, best_distance);
-            let link_advantage = self.pace_advantage(distance, distance.next());
+                * self.latency_advantage(distance, best_distance);
+            let link_advantage = self.latency_advantage(distance, distance.next());
             let staying_share = locality_share * link_advantage.min(1.0 + SIGNIFICANTLY_FULLER) * near_health;
             let is_not_fuller =
                 |c: &&DecodeCandidate| c.projected_memory <= best.projected_memory + allowance;
@@ -145,13 +145,13 @@
     /// How many times longer first tokens take over the farther distance; at least 1.
     ///
     /// The nearer worker is kept to by as much more. Guards against links that are slow for any cause; harms
-    /// while the paces from afar are old.
-    fn pace_advantage(&self, near: Distance, far: Distance) -> f64 {
-        (self.pace(far) / self.pace(near).max(1e-9)).max(1.0)
+    /// while the latencies from afar are old.
+    fn latency_advantage(&self, near: Distance, far: Distance) -> f64 {
+        (self.time_per_token(far) / self.time_per_token(near).max(1e-9)).max(1.0)
     }
 
-    fn pace(&self, distance: Distance) -> f64 {
-        self.context.latency.decode_pace(distance).value_or(0.0)
+    fn time_per_token(&self, distance: Distance) -> f64 {
+        self.context.latency.decode_time_per_token(distance).value_or(0.0)
     }
 
     /// The request's position between 0 and 1 in the order in which requests stay near: those whose position
@@ -160,7 +160,7 @@
     /// Routers that can't see the others' attempts keep near only what the near decode workers' share of all
     /// decode capacity holds of the near prefill workers' share; the rest goes where there is capacity. While
     /// KV caches from afar have just not arrived in time, the near workers take all that they have capacity
-    /// for: guards against slow links, which the learned paces show only after seconds.
+    /// for: guards against slow links, which the learned latencies show only after seconds.
     fn locality_position(&self) -> f64 {
         let remote_timeouts = self.context.decode_timeouts.elsewhere.value_at(self.context.now);
         if remote_timeouts >= REMOTE_TIMEOUTS_TO_STAY_NEAR {
@@ -179,8 +179,8 @@
     fn near_health(&self) -> f64 {
         let now = self.context.now;
         let timeouts = self.context.decode_timeouts;
-        let has_slow_links =
-            self.pace(Distance::Remote) > SLOW_LINK_PACE_RATIO * self.pace(Distance::SameCell);
+        let has_slow_links = self.time_per_token(Distance::Remote)
+            > SLOW_LINK_LATENCY_RATIO * self.time_per_token(Distance::SameCell);
         let excess_timeouts = if has_slow_links {
             0.0
         } else {
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -1,7 +1,7 @@
-//! What the outcomes of attempts teach of workers, paces and timeouts.
+//! What the outcomes of attempts teach of workers, latencies and timeouts.
 
 use super::decode_choice::DecodeTimeouts;
-use super::latency_model::{LatencyModel, PaceKind, TimeoutBackoff};
+use super::latency_model::{LatencyKind, LatencyModel, TimeoutBackoff};
 use super::membership::Membership;
 use super::request::Attempt;
 use super::statistics::LOAD_HALF_LIFE;
@@ -34,7 +34,7 @@
     pub settings: &'a Settings,
     /// The workers.
     pub membership: &'a mut Membership,
-    /// Learned paces and sizes.
+    /// Learned latencies and sizes.
     pub latency: &'a mut LatencyModel,
     /// How long timeouts are extended.
     pub timeout_backoff: &'a mut TimeoutBackoff,
@@ -47,7 +47,12 @@
     pub fn stream_started(&mut self, attempt: &Attempt, elapsed: Micros) {
         self.timeout_backoff.record_success(Stage::Decode);
         self.record_success(&attempt.worker);
-        self.record_pace(&attempt.worker, PaceKind::FirstToken(attempt.distance), elapsed, attempt.work);
+        self.record_latency(
+            &attempt.worker,
+            LatencyKind::FirstToken(attempt.distance),
+            elapsed,
+            attempt.work,
+        );
     }
 
     /// Learns from an attempt that has ended.
@@ -77,26 +82,26 @@
     fn prefill_completed(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { attempt, uncached_tokens, .. } = ended;
         self.timeout_backoff.record_success(Stage::Prefill);
-        self.latency.uncached_tokens.add(*uncached_tokens);
+        self.latency.record_uncached_tokens(*uncached_tokens);
         self.record_success(&attempt.worker);
         let work = attempt.work - attempt.tokens + uncached_tokens;
-        self.record_pace(&attempt.worker, PaceKind::Prefill, ended.elapsed, work);
+        self.record_latency(&attempt.worker, LatencyKind::Prefill, ended.elapsed, work);
     }
 
     fn timed_out(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { attempt, elapsed, .. } = ended;
         self.timeout_backoff.record_timeout(attempt.stage, attempt.started_at.is_some());
         // It would have taken at least this long: else timeouts under load would cause more timeouts.
-        let kind = PaceKind::of(attempt.stage, attempt.distance);
-        self.record_pace(&attempt.worker, kind, *elapsed, attempt.work);
+        let kind = LatencyKind::of(attempt.stage, attempt.distance);
+        self.record_latency(&attempt.worker, kind, *elapsed, attempt.work);
         self.record_failure(attempt);
         match attempt.stage {
             Stage::Decode => self.decode_timeouts.record(attempt.distance, self.now),
             Stage::Prefill if self.settings.is_load_unobservable() => {
                 // Without a report, the timeout counts as if the worker had reported so much work.
-                let pace = self.latency.prefill_pace.value_or(f64::MAX).max(1e-9);
+                let time_per_token = self.latency.prefill_time_per_token().value_or(f64::MAX).max(1e-9);
                 if let Some(worker) = self.membership.get_mut(&attempt.worker) {
-                    worker.load.add_peer_tokens(self.now, *elapsed as f64 / pace);
+                    worker.load.add_peer_tokens(self.now, *elapsed as f64 / time_per_token);
                 }
             }
             Stage::Prefill => {}
@@ -115,7 +120,7 @@
         }
     }
 
-    fn record_pace(&mut self, worker: &WorkerId, kind: PaceKind, elapsed: Micros, work: f64) {
+    fn record_latency(&mut self, worker: &WorkerId, kind: LatencyKind, elapsed: Micros, work: f64) {
         let ratio = self.latency.record(kind, elapsed, work);
         if let Some(worker) = self.membership.get_mut(worker) {
             worker.record_slowness(ratio);
--- a/src/policy/final_answer.rs
+++ b/src/policy/final_answer.rs
@@ -15,7 +15,7 @@
 pub(super) fn end_reason(context: DecisionContext<'_>, request: &Request) -> Option<EndReason> {
     let DecisionContext { settings, now, .. } = context;
     let deadline = request.spec.deadline;
-    match request.phase {
+    match request.phase() {
         RequestPhase::Streaming | RequestPhase::Answered => return None,
         // The attempt's timeout ends at the deadline, and its outcome comes within the grace after it.
         RequestPhase::Prefilling | RequestPhase::DecodeRequested { .. } => {
@@ -26,7 +26,7 @@
     if now + sweep_margin(settings) >= deadline {
         return Some(EndReason::DeadlineTooClose);
     }
-    if request.attempts.len() as u32 >= settings.max_attempts {
+    if request.attempts().len() as u32 >= settings.max_attempts {
         return Some(EndReason::AttemptsExhausted);
     }
     // It may have run, and no worker may be sent it again: its client gains nothing by waiting.
@@ -34,7 +34,7 @@
         return Some(EndReason::NotRetryable);
     }
     // A decode worker had no capacity for it, and it is late now: it could only make others late.
-    let is_awaiting_decode = matches!(request.phase, RequestPhase::AwaitingDecode { .. });
+    let is_awaiting_decode = matches!(request.phase(), RequestPhase::AwaitingDecode { .. });
     if is_awaiting_decode && request.has_decode_timeout() {
         let is_late = now >= request.received_at + context.first_token_objective(request);
         return is_late.then_some(EndReason::DecodeUnresponsive);
--- a/src/policy/latency_model.rs
+++ b/src/policy/latency_model.rs
@@ -1,6 +1,4 @@
-//! What this router has learned of how long work takes.
-//!
-//! A pace is the time that a stage takes for each token of work, in microseconds.
+//! What this router has learned of how long work takes, in microseconds for each token of work.
 
 use super::MAX_BACKOFF_DOUBLINGS;
 use super::statistics::MovingAverage;
@@ -10,59 +8,85 @@
 /// An attempt that hangs says little of its peers: a sample counts as this many times the average at most.
 const MAX_SAMPLE_OVER_AVERAGE: f64 = 2.0;
 
-/// Learned paces and sizes, over all workers.
+/// Learned times and sizes, over all workers.
 #[derive(Default)]
 pub(super) struct LatencyModel {
-    /// Pace of a prefill.
-    pub prefill_pace: MovingAverage,
-    /// Pace of a first token, by the distance that the KV cache travels; see [`LatencyModel::decode_pace`].
-    decode_paces: [MovingAverage; 3],
-    /// Pace of a first token over all distances.
-    pub first_token_pace: MovingAverage,
-    /// Prompt tokens that prefill workers did not find cached.
-    pub uncached_tokens: MovingAverage,
-    /// Prompt tokens of a request.
-    pub prompt_tokens: MovingAverage,
+    prefill_time_per_token: MovingAverage,
+    /// By `Distance as usize`.
+    decode_times_per_token: [MovingAverage; 3],
+    first_token_time_per_token: MovingAverage,
+    uncached_tokens: MovingAverage,
+    prompt_tokens: MovingAverage,
 }
 
-/// Which pace a sample is of.
+/// What a measured time is of.
 #[derive(Clone, Copy)]
-pub(super) enum PaceKind {
-    /// A prefill's.
+pub(super) enum LatencyKind {
+    /// A prefill.
     Prefill,
-    /// A first token's, after the KV cache has travelled this far.
+    /// A decode's first token, after the KV cache has travelled this far.
     FirstToken(Distance),
 }
 
-impl PaceKind {
-    /// The pace of an attempt at this stage.
+impl LatencyKind {
+    /// The kind of an attempt at this stage.
     pub fn of(stage: Stage, distance: Distance) -> Self {
         match stage {
-            Stage::Prefill => PaceKind::Prefill,
-            Stage::Decode => PaceKind::FirstToken(distance),
+            Stage::Prefill => LatencyKind::Prefill,
+            Stage::Decode => LatencyKind::FirstToken(distance),
         }
     }
 }
 
 impl LatencyModel {
-    /// Pace of a first token after the KV cache has travelled this far.
-    pub fn decode_pace(&self, distance: Distance) -> MovingAverage {
-        self.decode_paces[distance as usize]
+    /// Time of a prefill, for each token of its work.
+    pub fn prefill_time_per_token(&self) -> MovingAverage {
+        self.prefill_time_per_token
+    }
+
+    /// Time to a decode's first token over all distances, for each token of its work.
+    pub fn first_token_time_per_token(&self) -> MovingAverage {
+        self.first_token_time_per_token
+    }
+
+    /// Prompt tokens of a prefill that its worker did not find cached.
+    pub fn uncached_tokens(&self) -> MovingAverage {
+        self.uncached_tokens
+    }
+
+    /// Prompt tokens of a request.
+    pub fn prompt_tokens(&self) -> MovingAverage {
+        self.prompt_tokens
+    }
+
+    /// Learns the size of a prompt that was received.
+    pub fn record_prompt(&mut self, prompt_tokens: u64) {
+        self.prompt_tokens.add(prompt_tokens as f64);
+    }
+
+    /// Learns how much of a prompt was not cached.
+    pub fn record_uncached_tokens(&mut self, tokens: f64) {
+        self.uncached_tokens.add(tokens);
+    }
+
+    /// Time to a decode's first token after the KV cache has travelled this far, for each token of its work.
+    pub fn decode_time_per_token(&self, distance: Distance) -> MovingAverage {
+        self.decode_times_per_token[distance as usize]
     }
 
     /// Learns from an attempt that took `elapsed` for `work` tokens. Returns the time that it took over the
     /// time expected.
-    pub fn record(&mut self, kind: PaceKind, elapsed: Micros, work: f64) -> f64 {
-        let pace = match kind {
-            PaceKind::Prefill => &mut self.prefill_pace,
-            PaceKind::FirstToken(distance) => &mut self.decode_paces[distance as usize],
+    pub fn record(&mut self, kind: LatencyKind, elapsed: Micros, work: f64) -> f64 {
+        let average = match kind {
+            LatencyKind::Prefill => &mut self.prefill_time_per_token,
+            LatencyKind::FirstToken(distance) => &mut self.decode_times_per_token[distance as usize],
         };
         let sample = elapsed as f64 / work.max(1.0);
-        let bounded = sample.min(MAX_SAMPLE_OVER_AVERAGE * pace.value_or(sample));
-        let ratio = sample / pace.value_or(sample).max(1e-9);
-        pace.add(bounded);
-        if let PaceKind::FirstToken(_) = kind {
-            self.first_token_pace.add(bounded);
+        let bounded = sample.min(MAX_SAMPLE_OVER_AVERAGE * average.value_or(sample));
+        let ratio = sample / average.value_or(sample).max(1e-9);
+        average.add(bounded);
+        if let LatencyKind::FirstToken(_) = kind {
+            self.first_token_time_per_token.add(bounded);
         }
         ratio
     }
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -14,9 +14,6 @@
 use super::sweep::sweep_margin;
 use crate::interface::*;
 
-/// Health checks that one request may cause: of the chosen prefill worker, and of two that may stand in.
-const MAX_HEALTH_CHECKS_PER_REQUEST: u32 = 3;
-
 /// Which requests to advance.
 #[derive(Clone, Copy)]
 pub(super) enum AdvanceScope {
@@ -54,21 +51,21 @@
         let classes = &self.settings.classes;
         // A class that the settings don't name is the last one: see `new`.
         let class_index = classes.iter().position(|c| c.name == spec.class).unwrap_or(classes.len() - 1);
-        let over_quota = self.quotas.charge_exceeds_quota(spec.tenant.as_deref(), self.now);
-        self.latency.prompt_tokens.add(spec.prompt_tokens as f64);
-        self.requests.insert(Request::new(spec, class_index, self.now, over_quota));
+        let quota = self.quotas.charge(spec.tenant.as_deref(), self.now);
+        self.latency.record_prompt(spec.prompt_tokens);
+        self.requests.insert(Request::new(spec, class_index, self.now, quota));
         self.advance(id, out);
     }
 
     /// Advances requests in the order of their priority; those whose KV cache is held go first.
     pub(super) fn advance_all(&mut self, scope: AdvanceScope, out: &mut Vec<Action>) {
         let context = self.context();
-        let order = |request: &Request| match request.phase {
+        let order = |request: &Request| match request.phase() {
             RequestPhase::AwaitingDecode { .. } => f64::MAX,
             _ => context.priority(request),
         };
         let mut requests: Vec<(RequestId, f64)> = (self.requests.iter())
-            .filter(|(_, request)| scope.includes(&request.phase))
+            .filter(|(_, request)| scope.includes(request.phase()))
             .map(|(id, request)| (id, order(request)))
             .collect();
         requests.sort_by(|(a, a_order), (b, b_order)| b_order.total_cmp(a_order).then(a.cmp(b)));
@@ -84,12 +81,11 @@
             self.finish(id, reason, out);
             return;
         }
-        match &request.phase {
+        match request.phase() {
             RequestPhase::Queued => self.start(id, out),
             RequestPhase::AwaitingDecode { cache } => {
-                let HeldCache { worker, idle_since } = cache;
-                let (holder, idle_since) = (worker.clone(), *idle_since);
-                self.request_decode(id, &holder, idle_since, out);
+                let cache = cache.clone();
+                self.request_decode(id, &cache, out);
             }
             _ => {}
         }
@@ -113,23 +109,21 @@
 
     /// Sends a request whose KV cache is held to a decode worker, or releases the cache and queues the
     /// request again when the hold limit is near.
-    fn request_decode(
-        &mut self,
-        id: RequestId,
-        holder: &WorkerId,
-        idle_since: Micros,
-        out: &mut Vec<Action>,
-    ) {
+    fn request_decode(&mut self, id: RequestId, cache: &HeldCache, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let margin = sweep_margin(&self.settings) + self.settings.event_interval;
-        if self.now >= idle_since + self.settings.cache_hold_limit.saturating_sub(margin) {
+        let release_at = cache.idle_since + self.settings.cache_hold_limit.saturating_sub(margin);
+        if self.now >= release_at {
             self.requests.release_cache(id, out);
-        } else if let Some(worker) = DecodeChooser::new(self.context(), request).choose(Some(holder)) {
+            return;
+        }
+        let chooser = DecodeChooser::new(self.context(), request);
+        if let Some(worker) = chooser.choose(Some(&cache.worker)) {
             self.send(id, &worker, PlannedStage::Decode, out);
         }
     }
 
-    /// Where health checks bring load reports, asks for the chosen worker's load before a prefill, unless it
+    /// Where health checks bring load reports, requests the chosen worker's load before a prefill, unless it
     /// is known already. Guards against queues that no router sees; harms where health checks cost much.
     fn request_load_report(
         &mut self,
@@ -149,10 +143,9 @@
             ReportNeed::Missing => {}
         }
         let request = self.requests.get_mut(id);
-        let Some(request) = request.filter(|r| r.health_checks < MAX_HEALTH_CHECKS_PER_REQUEST) else {
+        if request.is_none_or(|request| request.take_health_check().is_none()) {
             return LoadKnowledge::Sufficient;
-        };
-        request.health_checks += 1;
+        }
         worker.load.health_check_sent(self.now);
         out.push(Action::CheckHealth { worker: worker_id.clone() });
         LoadKnowledge::Awaited
@@ -193,7 +186,7 @@
         let AttemptEnd { request: id, outcome, .. } = end;
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(attempt) = request.end_attempt(end.attempt, outcome, self.now) else { return };
-        let is_over = end.request_finished || matches!(request.phase, RequestPhase::Answered);
+        let is_over = end.request_finished || matches!(request.phase(), RequestPhase::Answered);
         if is_over && outcome != Outcome::Completed {
             // Whatever the attempt left behind is released, also by a cancelled or a late prefill.
             request.assume_cache_at(attempt.worker.clone(), self.now);
@@ -220,7 +213,7 @@
     /// Gives a request its final answer, unless its answer has started. No other place ends requests.
     fn finish(&mut self, id: RequestId, reason: EndReason, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        if !request.phase.is_answer_started() {
+        if !request.phase().is_answer_started() {
             out.push(final_answer(self.context(), request, reason));
             self.close(id, out);
         }
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -115,8 +115,8 @@
         let Some(received) = report else { return ReportedQueue::default() };
         let Some(tokens) = received.report.queued_tokens else { return ReportedQueue::default() };
         let latency = self.context.latency;
-        let prompt_tokens = latency.prompt_tokens.value_or(1.0).max(1.0);
-        let uncached_share = latency.uncached_tokens.value_or(1.0) / prompt_tokens;
+        let prompt_tokens = latency.prompt_tokens().value_or(1.0).max(1.0);
+        let uncached_share = latency.uncached_tokens().value_or(1.0) / prompt_tokens;
         let trust = decay(self.context.now, received.received_at);
         ReportedQueue { tokens: tokens * uncached_share.min(1.0), trust }
     }
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -122,8 +122,9 @@
         if self.spec.prefix.is_some() || !is_cached_nowhere {
             return None;
         }
-        let pace = self.context.latency.prefill_pace.value_or(0.0);
-        let is_in_time = |c: &PrefillCandidate| pace * c.uncached_tokens * c.relative_slowness <= time_budget;
+        let time_per_token = self.context.latency.prefill_time_per_token().value_or(0.0);
+        let is_in_time =
+            |c: &PrefillCandidate| time_per_token * c.uncached_tokens * c.relative_slowness <= time_budget;
         let (settings, now) = (self.context.settings, self.context.now);
         let warming_up = candidates
             .iter()
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,12 +1,17 @@
 //! Requests in progress, their phases and their attempts.
 
+use super::tenant_quotas::QuotaStatus;
 use super::worker::{Distance, TrafficKey};
 use crate::interface::{
     Action, AttemptIndex, Class, Micros, Outcome, RequestId, RequestSpec, Stage, WorkerId,
 };
 use std::collections::BTreeMap;
 
+/// Health checks that one request may cause: of the chosen prefill worker, and of two that may stand in.
+const MAX_HEALTH_CHECKS: u32 = 3;
+
 /// A KV cache that a prefill left at its worker.
+#[derive(Clone)]
 pub(super) struct HeldCache {
     /// The prefill worker that holds it.
     pub worker: WorkerId,
@@ -95,21 +100,35 @@
     pub class_index: usize,
     /// When it was received.
     pub received_at: Micros,
-    /// Whether it is beyond its tenant's quota.
-    pub over_quota: bool,
-    /// How far it has come.
-    pub phase: RequestPhase,
-    /// Its attempts in the order of sending.
-    pub attempts: Vec<Attempt>,
-    /// Health checks sent on its behalf.
-    pub health_checks: u32,
+    /// Where it stands with its tenant's quota.
+    pub quota: QuotaStatus,
+    phase: RequestPhase,
+    attempts: Vec<Attempt>,
+    health_checks_left: u32,
 }
 
 impl Request {
     /// A request that has just been received.
-    pub fn new(spec: RequestSpec, class_index: usize, received_at: Micros, over_quota: bool) -> Self {
+    pub fn new(spec: RequestSpec, class_index: usize, received_at: Micros, quota: QuotaStatus) -> Self {
         let (phase, attempts) = (RequestPhase::Queued, Vec::new());
-        Request { spec, class_index, received_at, over_quota, phase, attempts, health_checks: 0 }
+        let health_checks_left = MAX_HEALTH_CHECKS;
+        Request { spec, class_index, received_at, quota, phase, attempts, health_checks_left }
+    }
+
+    /// How far it has come.
+    pub fn phase(&self) -> &RequestPhase {
+        &self.phase
+    }
+
+    /// Its attempts in the order of sending.
+    pub fn attempts(&self) -> &[Attempt] {
+        &self.attempts
+    }
+
+    /// Takes one of the health checks that it may cause; `None` when none is left.
+    pub fn take_health_check(&mut self) -> Option<()> {
+        self.health_checks_left = self.health_checks_left.checked_sub(1)?;
+        Some(())
     }
 
     /// The attempts without an outcome.
--- a/src/policy/tenant_quotas.rs
+++ b/src/policy/tenant_quotas.rs
@@ -10,6 +10,15 @@
 /// A tenant may use this many seconds' worth of its quota at once.
 const BURST_SECONDS: f64 = 2.0;
 
+/// Where a request stands with its tenant's quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum QuotaStatus {
+    /// Within it, or there is none.
+    Within,
+    /// Beyond it.
+    Exceeded,
+}
+
 /// A token bucket that is full at start.
 struct TokenBucket {
     rate_per_s: f64,
@@ -22,17 +31,17 @@
         TokenBucket { rate_per_s, level: f64::MAX, refilled_at: 0 }
     }
 
-    /// Takes one token; `None` when there is none.
-    fn take(&mut self, now: Micros) -> Option<()> {
+    /// Takes one token, if there is one.
+    fn take(&mut self, now: Micros) -> QuotaStatus {
         let refill = self.rate_per_s * (now - self.refilled_at) as f64 / 1e6;
         let capacity = BURST_REQUESTS.max(self.rate_per_s * BURST_SECONDS);
         self.level = (self.level + refill).min(capacity);
         self.refilled_at = now;
         if self.level < 1.0 {
-            return None;
+            return QuotaStatus::Exceeded;
         }
         self.level -= 1.0;
-        Some(())
+        QuotaStatus::Within
     }
 }
 
@@ -51,11 +60,10 @@
         TenantQuotas { buckets: tenants.map(|t| (t.name.clone(), bucket(t.quota_per_s))).collect() }
     }
 
-    /// Charges a request to its tenant; whether it is beyond the quota. Tenants that the settings don't name
-    /// have no quota to exceed.
-    pub fn charge_exceeds_quota(&mut self, tenant: Option<&str>, now: Micros) -> bool {
+    /// Charges a request to its tenant. Tenants that the settings don't name have no quota to exceed.
+    pub fn charge(&mut self, tenant: Option<&str>, now: Micros) -> QuotaStatus {
         let bucket = tenant.and_then(|tenant| self.buckets.get_mut(tenant));
-        bucket.is_some_and(|bucket| bucket.take(now).is_none())
+        bucket.map_or(QuotaStatus::Within, |bucket| bucket.take(now))
     }
 
     /// Requests a microsecond that this router's quotas allow in all.
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -7,7 +7,7 @@
 use crate::interface::{Micros, Role, WorkerStatus};
 use std::collections::BTreeMap;
 
-/// Bounds for one sample of a worker's pace over the usual one: a single absurd time says little.
+/// Bounds for one sample of the time taken over the time expected: a single absurd time says little.
 const SLOWNESS_SAMPLE_BOUNDS: (f64, f64) = (0.1, 10.0);
 
 /// How far a KV cache travels from the worker that holds it.
--- a/tests/policy_admission.rs
+++ b/tests/policy_admission.rs
@@ -10,7 +10,7 @@
 #[test]
 fn prefills_beyond_their_share_of_the_objective_are_queued_and_rejected_in_time() {
     let mut rig = Rig::fleet(settings());
-    // Teach a slow pace: 2,000 tokens take 600 ms.
+    // Teach a slow prefill: 2,000 tokens take 600 ms.
     for id in 1..20 {
         rig.request(id, "idempotent");
         rig.now += 600 * MS;
@@ -75,7 +75,7 @@
 #[test]
 fn a_long_prompt_is_not_rejected_while_there_is_capacity() {
     let mut rig = Rig::fleet(settings());
-    // Teach the pace: 2,000 tokens take 100 ms.
+    // Teach the latency: 2,000 tokens take 100 ms.
     for id in 1..40 {
         rig.request(id, "idempotent");
         rig.now += 100 * MS;
@@ -129,7 +129,7 @@
         }));
         rig.end_attempt(id, 1, Outcome::Completed);
     }
-    // One request is in flight already, so this one isn't needed to learn paces from.
+    // One request is in flight already, so this one isn't needed to learn latencies from.
     rig.request(50, "idempotent");
     let hasty = RequestSpec {
         request: RequestId(51),
--- a/tests/policy_placement.rs
+++ b/tests/policy_placement.rs
@@ -319,7 +319,7 @@
     assert_eq!(chosen.len(), 3, "{chosen:?}");
 }
 
-/// Guards against slow links: paces learned over seconds kept sending KV caches out of the cell, where they timed out,
+/// Guards against slow links: latencies learned over seconds kept sending KV caches out of the cell, where they timed out,
 /// although the near decode worker had capacity.
 #[test]
 fn after_a_remote_cache_was_late_the_near_decode_worker_takes_all() {
