--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -149,7 +149,7 @@
         time_per_token.value_or(0.0) * (work + latency.prompt_tokens().value_or(0.0))
     }
 
-    /// Prompt tokens of the requests that are on their way to a decode worker.
+    /// Prompt tokens of the requests that have started, but whose stream has not.
     fn started_prompts(&self) -> impl Iterator<Item = f64> {
         let is_started = |request: &&Request| {
             matches!(
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -142,8 +142,8 @@
         let whole = (WHOLE_PROMPT_MULTIPLE * self.processing_time(whole_work)) as Micros;
         let overdue = whole.max((OVERDUE_MULTIPLE * expected as f64) as Micros);
         let due = self.context.settings.connect_timeout.saturating_add(overdue).max(self.least_timeout());
-        // Recent prefill timeouts show congestion, and the workers go on with those prefills: the next one is
-        // waited for longer.
+        // Recent prefill timeouts show congestion, and the workers continue with those prefills: the next one
+        // gets more time.
         let due = match self.stage {
             Stage::Prefill => due.saturating_mul(1 << doublings),
             Stage::Decode => due,
@@ -156,8 +156,8 @@
 
     /// The least timeout: the stage's share of the latency objective.
     ///
-    /// A prefill worker goes on with a prefill that is given up. Hence, where load can't be observed and
-    /// another prefill would be late too, this one has all the time that leaves room for another one. Guards
+    /// A prefill worker continues with a prefill after its timeout. Hence, where load can't be observed and
+    /// another prefill would be late too, this one has all the time but what another one needs. Guards
     /// against congestion by long prompts.
     fn least_timeout(&self) -> Micros {
         let objective = self.context.first_token_objective(self.request) as f64;
--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -14,11 +14,11 @@
 /// of one long request.
 const SIGNIFICANTLY_FULLER: f64 = 0.1;
 
-/// First tokens from afar that take this many times as long as near ones show slow links: deployments state
-/// up to 2.7 for the distance between zones.
+/// First tokens over remote distances that take this many times as long as those within a cell show slow
+/// links: deployments state up to 2.7 for the distance between zones.
 const SLOW_LINK_LATENCY_RATIO: f64 = 3.0;
 
-/// From so many recent timeouts of KV caches from afar on, all requests stay near.
+/// All requests stay near from this many recent timeouts out of the cell on.
 const REMOTE_TIMEOUTS_TO_STAY_NEAR: f64 = 0.5;
 
 /// Recent attempts at decode workers that did not start in time.
@@ -83,9 +83,9 @@
         let holder = cache_holder.and_then(|id| self.context.membership.get(id));
         let Some(holder) = holder else { return Some(best.id.clone()) };
         let chosen = self.nearest_with_capacity(holder, best).unwrap_or_else(|| {
-            // Far from the cache, places with room for KV caches from elsewhere go first.
-            let with_room = self.emptiest(has_room_for_others);
-            with_room
+            // Away from the cache, places with capacity for KV caches from elsewhere are preferred.
+            let with_capacity = self.emptiest(has_capacity_for_others);
+            with_capacity
                 .filter(|c| c.projected_memory <= best.projected_memory + SIGNIFICANTLY_FULLER)
                 .unwrap_or(best)
         });
@@ -113,7 +113,7 @@
         let in_cell = self.emptiest(|worker| worker.cell == holder.cell);
         let is_in_zone = |worker: &Worker| worker.zone == holder.zone;
         let in_zone = self
-            .emptiest(|worker| is_in_zone(worker) && has_room_for_others(worker))
+            .emptiest(|worker| is_in_zone(worker) && has_capacity_for_others(worker))
             .or_else(|| self.emptiest(is_in_zone));
         let places = [
             (Distance::SameCell, in_cell, holder.locality_share.cell),
@@ -145,7 +145,7 @@
     /// How many times longer first tokens take over the farther distance; at least 1.
     ///
     /// The nearer worker is kept to by as much more. Guards against links that are slow for any cause; harms
-    /// while the latencies from afar are old.
+    /// while the latencies of the farther distance are old.
     fn latency_advantage(&self, near: Distance, far: Distance) -> f64 {
         (self.time_per_token(far) / self.time_per_token(near).max(1e-9)).max(1.0)
     }
@@ -159,8 +159,8 @@
     ///
     /// Routers that can't see the others' attempts keep near only what the near decode workers' share of all
     /// decode capacity holds of the near prefill workers' share; the rest goes where there is capacity. While
-    /// KV caches from afar have just not arrived in time, the near workers take all that they have capacity
-    /// for: guards against slow links, which the learned latencies show only after seconds.
+    /// KV caches have just not arrived out of the cell in time, the near workers take all that they have
+    /// capacity for: guards against slow links, which the learned latencies show only after seconds.
     fn locality_position(&self) -> f64 {
         let remote_timeouts = self.context.decode_timeouts.elsewhere.value_at(self.context.now);
         if remote_timeouts >= REMOTE_TIMEOUTS_TO_STAY_NEAR {
@@ -174,7 +174,7 @@
     /// they do not.
     ///
     /// It is never 0, else nobody would see that the near workers have recovered. Guards against congestion
-    /// that no report shows; harms where the whole fleet is congested. Where first tokens from afar take
+    /// that no report shows; harms where the whole fleet is congested. Where remote first tokens take
     /// longer than distance alone explains, links are slow, and moving away would be worse.
     fn near_health(&self) -> f64 {
         let now = self.context.now;
@@ -191,6 +191,6 @@
 }
 
 /// Whether a worker's cell has a larger share of the decode capacity than of the prefill capacity.
-fn has_room_for_others(worker: &Worker) -> bool {
+fn has_capacity_for_others(worker: &Worker) -> bool {
     worker.locality_share.cell > 1.0
 }
--- a/src/policy/gossip.rs
+++ b/src/policy/gossip.rs
@@ -30,7 +30,7 @@
         word.to_be_bytes().to_vec()
     }
 
-    /// The change that a message tells of, if it is one.
+    /// The change that a message carries; `None` if it is not one.
     pub fn decode(payload: &[u8]) -> Option<QueueChange> {
         let word = payload.try_into().map(u32::from_be_bytes).ok()?;
         let sign_extended_units = (word << (u32::BITS - UNIT_BITS)) as i32 >> (u32::BITS - UNIT_BITS);
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The way of a request through its phases: received, queued, sent, ended.
+//! The life of a request: how it moves from one phase to the next, until it ends.
 //!
 //! The methods here are the only ones that send attempts and that end requests. The decisions themselves are
 //! made in `admission`, `decode_choice`, `attempt_plan` and `final_answer`.
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Records an attempt's outcome and goes on with its request.
+    /// Records an attempt's outcome and advances its request.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd, out: &mut Vec<Action>) {
         let AttemptEnd { request: id, outcome, .. } = end;
         let Some(request) = self.requests.get_mut(id) else { return };
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -23,12 +23,12 @@
     Missing,
 }
 
-/// What others tell of the load at one worker.
+/// The load at one worker, as it reports it and as other routers gossip.
 #[derive(Default)]
 pub(super) struct LoadView {
     report: Option<ReceivedReport>,
     health_check_sent_at: Option<Micros>,
-    /// Tokens that wait there by the word of other routers, or by unanswered prefills.
+    /// Tokens that wait there according to other routers' gossip and to prefills that timed out.
     peer_tokens: DecayingSum,
 }
 
@@ -42,12 +42,12 @@
         self.report = Some(ReceivedReport { received_at: now, report });
     }
 
-    /// Records tokens that other routers, or this one's timeouts, tell to wait there; negative when done.
+    /// Records tokens that wait there by gossip or by a timeout; negative when they are done.
     pub fn add_peer_tokens(&mut self, now: Micros, tokens: f64) {
         self.peer_tokens.add(now, tokens);
     }
 
-    /// Whether a report that came at `fresh_since` or later is there, under way, or missing.
+    /// Whether a report that came at `fresh_since` or later is known, pending, or missing.
     pub fn report_need(&self, now: Micros, fresh_since: Micros) -> ReportNeed {
         let received_at = self.report.map(|received| received.received_at);
         if received_at.is_some_and(|at| at >= fresh_since) {
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -132,8 +132,8 @@
     }
 
     /// Sets how far KV caches stay in their cell and zone, for all routers together and from the endpoint
-    /// list alone, since each router sees too little of the others: as far as the place's share of the
-    /// decode capacity goes.
+    /// list alone, since each router sees too little of the others: by the place's share of the decode
+    /// capacity.
     fn rebalance_locality(&mut self) {
         let mut total = StageCapacity::default();
         let mut cells = BTreeMap::<(String, u64), StageCapacity>::new();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Tells the other routers of tokens that a prefill worker was sent or, below zero, has done with.
+    /// Notifies the other routers of tokens that a prefill worker was sent or, below zero, is done with.
     fn gossip(&self, worker: &WorkerId, tokens: f64, out: &mut Vec<Action>) {
         if self.settings.gossip_allowed && self.settings.replica_count > 1 {
             out.push(Action::Gossip { to: None, payload: QueueChange::encode(worker, tokens) });
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -1,8 +1,8 @@
 //! The choice of a prefill worker, after Preble's E2 (exploitation and exploration).
 //!
 //! A prompt goes to the worker that caches most of it (exploitation) while that saves more than half of the
-//! prompt and the worker is not overloaded. Else it goes where it costs least (exploration): by the queue, by
-//! what it would evict, and by the tokens that have to be processed.
+//! prompt and the worker is not overloaded. Else it goes to the worker where it costs least
+//! (exploration): by the queue, by what it would evict, and by the tokens that have to be processed.
 
 use super::context::DecisionContext;
 use super::eligibility::EligibleWorker;
@@ -167,7 +167,7 @@
         let cost = |c: &PrefillCandidate| {
             c.load + self.eviction_cost(c) + c.uncached_tokens * c.relative_slowness * congestion
         };
-        // Equals are told apart by a hash that all routers share, so that the next request of a session finds
+        // Equals are ordered by a hash that all routers share, so that the next request of a session finds
         // its prompt cached.
         candidates.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)).then(b.rank.cmp(&a.rank)))
     }
@@ -183,7 +183,7 @@
     }
 
     /// The worker to which a prefix belongs: rendezvous hashing by weight, the same at every router of a
-    /// zone. A zone's own workers serve it as far as their share of all prefill workers goes.
+    /// zone. A zone's own workers serve it in proportion to their share of all prefill workers.
     ///
     /// In a large fleet a prefix has several homes, and a session stays at one of them: guards against
     /// prefixes that outgrow a home.
--- a/src/policy/prefix_table.rs
+++ b/src/policy/prefix_table.rs
@@ -65,7 +65,7 @@
         cached.map(|cached| cached.tokens as f64).sum()
     }
 
-    /// Forgets what was sent to a worker: its process has started anew with empty memory.
+    /// Forgets what was sent to a worker: its process has restarted with empty memory.
     pub fn forget_worker(&mut self, worker: &WorkerId) {
         self.prefixes.values_mut().for_each(|holders| holders.retain(|holder, _| holder != worker));
         self.sessions.retain(|_, session| session.worker != *worker);
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -151,7 +151,7 @@
         self.attempts.iter().any(|a| a.stage == Stage::Decode && a.worker == *worker)
     }
 
-    /// What workers may tell apart when they reject: class and tenant.
+    /// What workers may distinguish when they reject: class and tenant.
     pub fn traffic_key(&self) -> TrafficKey {
         TrafficKey { class_index: self.class_index, tenant: self.spec.tenant.clone() }
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -30,8 +30,9 @@
 impl SlowStartBucket {
     /// The bucket of a process that is listed for the first time.
     ///
-    /// The least budget goes round the routers, one after another from the worker's start on: a router that
-    /// restarts does not get a second token, and routers that see the worker at once do not send together.
+    /// The least budget rotates among the routers, one after another from the worker's start on: a router
+    /// that restarts does not get a second token, and routers that see the worker at once do not send
+    /// together.
     pub fn new(worker: &WorkerId, started_at: Option<Micros>, settings: &Settings, now: Micros) -> Self {
         let replicas = u64::from(settings.replica_count.max(1));
         let start = started_at.unwrap_or_default();
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// What workers may tell apart when they reject requests.
+/// What workers may distinguish when they reject requests.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TrafficKey {
     /// The index of the class in the settings.
@@ -41,7 +41,7 @@
 }
 
 /// The share of the decode capacity that a place holds over its share of the prefill capacity. Above 1 there
-/// is room for KV caches from elsewhere.
+/// is capacity for KV caches from elsewhere.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LocalityShare {
     /// Of the worker's cell.
@@ -65,7 +65,7 @@
     pub memory_tokens: f64,
     /// Whether it is in service.
     pub status: WorkerStatus,
-    /// How far KV caches stay near it.
+    /// How many KV caches stay in its cell and zone.
     pub locality_share: LocalityShare,
     /// Its budget while it warms up.
     pub slow_start: SlowStartBucket,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -295,15 +295,7 @@
         if new {
             seen.push(timeout(&received));
         }
-        rig.handle(Event::AttemptEnded(AttemptEnd {
-            request: RequestId(id),
-            attempt: AttemptIndex(0),
-            outcome: Outcome::PrefillCompleted,
-            elapsed: if new { 800 * MS } else { 50 * MS },
-            request_finished: false,
-            cached_tokens: 0,
-            report: None,
-        }));
+        rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, if new { 800 * MS } else { 50 * MS });
         rig.end_attempt(id, 1, Outcome::Completed);
         if seen.len() == 2 {
             break;
--- a/tests/policy_admission.rs
+++ b/tests/policy_admission.rs
@@ -14,15 +14,7 @@
     for id in 1..20 {
         rig.request(id, "idempotent");
         rig.now += 600 * MS;
-        rig.handle(Event::AttemptEnded(AttemptEnd {
-            request: RequestId(id),
-            attempt: AttemptIndex(0),
-            outcome: Outcome::PrefillCompleted,
-            elapsed: 600 * MS,
-            request_finished: false,
-            cached_tokens: 0,
-            report: None,
-        }));
+        rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, 600 * MS);
         rig.end_attempt(id, 1, Outcome::Completed);
     }
     let before = send_targets(&rig.actions).len();
@@ -55,15 +47,7 @@
         rig.receive(spec);
         rig.pass_time(20 * MS);
         for (attempt, outcome) in [(0, Outcome::PrefillCompleted), (1, Outcome::Completed)] {
-            rig.handle(Event::AttemptEnded(AttemptEnd {
-                request: RequestId(id),
-                attempt: AttemptIndex(attempt),
-                outcome,
-                elapsed: prompt_tokens * 20,
-                request_finished: outcome == Outcome::Completed,
-                cached_tokens: 0,
-                report: None,
-            }));
+            rig.end_attempt_after(id, attempt, outcome, prompt_tokens * 20);
         }
     }
     assert_eq!(final_answer_count(&rig.actions), 0, "rejected or failed");
@@ -79,15 +63,7 @@
     for id in 1..40 {
         rig.request(id, "idempotent");
         rig.now += 100 * MS;
-        rig.handle(Event::AttemptEnded(AttemptEnd {
-            request: RequestId(id),
-            attempt: AttemptIndex(0),
-            outcome: Outcome::PrefillCompleted,
-            elapsed: 100 * MS,
-            request_finished: false,
-            cached_tokens: 0,
-            report: None,
-        }));
+        rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, 100 * MS);
         rig.end_attempt(id, 1, Outcome::Completed);
     }
     // A short prefill is in flight at each worker.
@@ -118,15 +94,7 @@
     for id in 1..5 {
         rig.request(id, "idempotent");
         rig.now += 300 * MS;
-        rig.handle(Event::AttemptEnded(AttemptEnd {
-            request: RequestId(id),
-            attempt: AttemptIndex(0),
-            outcome: Outcome::PrefillCompleted,
-            elapsed: 300 * MS,
-            request_finished: false,
-            cached_tokens: 0,
-            report: None,
-        }));
+        rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, 300 * MS);
         rig.end_attempt(id, 1, Outcome::Completed);
     }
     // One request is in flight already, so this one isn't needed to learn latencies from.
@@ -147,15 +115,7 @@
     for id in 1..5 {
         rig.request(id, "idempotent");
         rig.now += 900 * MS;
-        rig.handle(Event::AttemptEnded(AttemptEnd {
-            request: RequestId(id),
-            attempt: AttemptIndex(0),
-            outcome: Outcome::PrefillCompleted,
-            elapsed: 900 * MS,
-            request_finished: false,
-            cached_tokens: 0,
-            report: None,
-        }));
+        rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, 900 * MS);
         rig.end_attempt(id, 1, Outcome::Completed);
     }
     for id in 10..40 {
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -11,6 +11,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
+/// A class of requests with a one-second latency objective.
 pub fn class(name: &str, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
@@ -24,6 +25,7 @@
     }
 }
 
+/// Settings with three classes: idempotent, not idempotent, and keyed within a cell.
 pub fn settings() -> Settings {
     let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: Some(150_000) };
     Settings {
@@ -61,6 +63,7 @@
 }
 
 impl Rig {
+    /// A policy that knows no workers.
     pub fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings, 7);
         Rig { policy, now: 100 * SECOND, actions: Vec::new(), timers: Vec::new() }
@@ -77,6 +80,7 @@
         rig
     }
 
+    /// Hands the policy an event and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
@@ -88,32 +92,46 @@
         out
     }
 
+    /// An update of the endpoint list.
     pub fn update_endpoints(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
         self.handle(Event::EndpointsUpdated { kind, endpoints: entries })
     }
 
+    /// A request of a class, with otherwise ordinary values.
     pub fn request(&mut self, id: u64, class: &str) -> Vec<Action> {
         self.receive(RequestSpec { request: RequestId(id), ..request_spec(self.now, class) })
     }
 
+    /// A request.
     pub fn receive(&mut self, spec: RequestSpec) -> Vec<Action> {
         self.handle(Event::RequestReceived(spec))
     }
 
+    /// Ends an attempt that took 50 ms.
     pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let settled = outcome == Outcome::Completed;
+        self.end_attempt_after(id, attempt, outcome, 50 * MS)
+    }
+
+    /// Ends an attempt that took `elapsed`; a completed one finishes its request.
+    pub fn end_attempt_after(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(attempt),
             outcome,
-            elapsed: 50 * MS,
-            request_finished: settled,
+            elapsed,
+            request_finished: outcome == Outcome::Completed,
             cached_tokens: 0,
             report: None,
         }))
     }
 
-    /// Lets time pass, handing timers back when they are due.
+    /// Lets time pass and hands timers back when they are due.
     pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
         let (until, mut out) = (self.now + time, Vec::new());
         loop {
@@ -129,6 +147,7 @@
     }
 }
 
+/// An ordinary request of a class.
 pub fn request_spec(now: Micros, class: &str) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
@@ -144,12 +163,14 @@
     }
 }
 
+/// A worker's entry in the endpoint list; its kind is the first letter of its name.
 pub fn endpoint(name: &str, cell: u64, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
     Endpoint { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started_at: started }
 }
 
+/// The workers of all attempts among the actions.
 pub fn send_targets(actions: &[Action]) -> Vec<&str> {
     let to = |a: &'_ Action| if let Action::Send { worker, .. } = a { Some(worker.0.clone()) } else { None };
     let names: Vec<Arc<str>> = actions.iter().filter_map(to).collect();
@@ -164,10 +185,12 @@
         .collect()
 }
 
+/// How many requests were rejected or failed.
 pub fn final_answer_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
 
+/// How many releases of KV caches there are among the actions.
 pub fn cache_release_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::ReleaseCache { .. })).count()
 }
