--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -1,4 +1,7 @@
-//! A decision module under test: its fleet, its clock, and all that it has done.
+//! A policy under test: its fleet, its clock, and all actions that it has taken.
+//!
+//! Names of workers begin with their kind: r for prefill, w for decode and m for unified workers. Placement hashes the
+//! names, so tests depend on them.
 #![allow(dead_code)]
 
 use llm_router::Policy;
@@ -8,10 +11,11 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(name: &str, effect: Idempotency) -> Class {
+/// A class of requests with a one-second latency objective.
+pub fn class(name: &str, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
-        idempotency: effect,
+        idempotency,
         deduplication_window: 5 * SECOND,
         first_token_objective: SECOND,
         inter_token_objective: 60 * MS,
@@ -21,6 +25,7 @@
     }
 }
 
+/// Settings with three classes: idempotent, not idempotent, and keyed within a cell.
 pub fn settings() -> Settings {
     let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: Some(150_000) };
     Settings {
@@ -28,9 +33,9 @@
         zone: "z".into(),
         worker_kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode), kind("m", Role::Unified)],
         classes: vec![
-            class("safe", Idempotency::Idempotent),
-            class("once", Idempotency::NonIdempotent),
-            class("cell", Idempotency::Keyed(DeduplicationScope::Cell)),
+            class("idempotent", Idempotency::Idempotent),
+            class("non-idempotent", Idempotency::NonIdempotent),
+            class("cell-keyed", Idempotency::Keyed(DeduplicationScope::Cell)),
         ],
         max_attempts: 5,
         cancellation_allowed: true,
@@ -49,69 +54,85 @@
     }
 }
 
-/// A module under test, with its clock and all that it has done.
+/// A policy under test, with its clock and all actions that it has taken.
 pub struct Rig {
     pub policy: Policy,
     pub now: Micros,
-    pub log: Vec<Action>,
+    pub actions: Vec<Action>,
     pub timers: Vec<Micros>,
 }
 
 impl Rig {
+    /// A policy that knows no workers.
     pub fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings, 7);
-        Rig { policy, now: 100 * SECOND, log: Vec::new(), timers: Vec::new() }
+        Rig { policy, now: 100 * SECOND, actions: Vec::new(), timers: Vec::new() }
     }
 
-    /// Two readers and three writers in two cells of one zone.
+    /// Two prefill and three decode workers in two cells of one zone.
     pub fn fleet(settings: Settings) -> Self {
         let mut rig = Rig::new(settings);
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
-        rig.list(
+        rig.update_endpoints(
             UpdateKind::Restored,
-            list.iter().map(|(w, cell)| entry(w, *cell, WorkerStatus::Ready, None)).collect(),
+            list.iter().map(|(w, cell)| endpoint(w, *cell, WorkerStatus::Ready, None)).collect(),
         );
         rig
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    /// Hands the policy an event and returns its actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
         self.timers.extend(out.iter().filter_map(|a| match a {
             Action::SetTimer { at, .. } => Some(*at),
             _ => None,
         }));
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
-    pub fn list(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointsUpdated { kind, endpoints: entries })
+    /// An update of the endpoint list.
+    pub fn update_endpoints(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
+        self.handle(Event::EndpointsUpdated { kind, endpoints: entries })
     }
 
-    pub fn ask(&mut self, id: u64, class: &str) -> Vec<Action> {
-        self.ask_with(RequestSpec { request: RequestId(id), ..ask(self.now, class) })
+    /// A request of a class, with otherwise ordinary values.
+    pub fn request(&mut self, id: u64, class: &str) -> Vec<Action> {
+        self.receive(RequestSpec { request: RequestId(id), ..request_spec(self.now, class) })
     }
 
-    pub fn ask_with(&mut self, ask: RequestSpec) -> Vec<Action> {
-        self.event(Event::RequestReceived(ask))
+    /// A request.
+    pub fn receive(&mut self, spec: RequestSpec) -> Vec<Action> {
+        self.handle(Event::RequestReceived(spec))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let settled = outcome == Outcome::Completed;
-        self.event(Event::AttemptEnded(AttemptEnd {
+    /// Ends an attempt that took 50 ms.
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.end_attempt_after(id, attempt, outcome, 50 * MS)
+    }
+
+    /// Ends an attempt that took `elapsed`; a completed one finishes its request.
+    pub fn end_attempt_after(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) -> Vec<Action> {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt: AttemptIndex(attempt),
             outcome,
-            elapsed: 50 * MS,
-            request_finished: settled,
+            elapsed,
+            request_finished: outcome == Outcome::Completed,
             cached_tokens: 0,
             report: None,
         }))
     }
 
-    /// Lets time pass, handing timers back when they are due.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    /// Lets time pass and hands timers back when they are due.
+    pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
         let (until, mut out) = (self.now + time, Vec::new());
         loop {
             self.timers.sort_unstable();
@@ -119,14 +140,15 @@
                 break;
             }
             self.now = self.now.max(self.timers.remove(0));
-            out.extend(self.event(Event::Timer(TimerId(1))));
+            out.extend(self.handle(Event::Timer(TimerId(1))));
         }
         self.now = until;
         out
     }
 }
 
-pub fn ask(now: Micros, class: &str) -> RequestSpec {
+/// An ordinary request of a class.
+pub fn request_spec(now: Micros, class: &str) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
         deadline: now + 4 * SECOND,
@@ -141,13 +163,15 @@
     }
 }
 
-pub fn entry(name: &str, cell: u64, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
+/// A worker's entry in the endpoint list; its kind is the first letter of its name.
+pub fn endpoint(name: &str, cell: u64, status: WorkerStatus, started: Option<Micros>) -> Endpoint {
     let worker = WorkerId(Arc::from(name));
     let kind = name[..1].to_owned();
     Endpoint { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started_at: started }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<&str> {
+/// The workers of all attempts among the actions.
+pub fn send_targets(actions: &[Action]) -> Vec<&str> {
     let to = |a: &'_ Action| if let Action::Send { worker, .. } = a { Some(worker.0.clone()) } else { None };
     let names: Vec<Arc<str>> = actions.iter().filter_map(to).collect();
     names
@@ -161,15 +185,17 @@
         .collect()
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+/// How many requests were rejected or failed.
+pub fn final_answer_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
 
-pub fn releases(actions: &[Action]) -> usize {
+/// How many releases of KV caches there are among the actions.
+pub fn cache_release_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::ReleaseCache { .. })).count()
 }
 
-/// Whether a request is answered as failed.
-pub fn fails(actions: &[Action], request: u64) -> bool {
+/// Whether a request has a failure as its final answer.
+pub fn has_failed(actions: &[Action], request: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request: failed, .. } if failed.0 == request))
 }
