--- a/crates/fault-soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The deployment of one run, drawn from its seed, and the configuration that routers get of it.
 
 use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
-use fleet_emulator::history::{Effect, Group, Role, WorkerIndex};
+use fleet_emulator::history::{DeduplicationScope, Idempotency, Role, WorkerIndex};
 use fleet_emulator::worker::WorkerSettings;
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -17,16 +17,16 @@
     /// Its name.
     pub name: &'static str,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// The classes of every deployment.
 pub const CLASSES: [Class; 5] = [
-    Class { name: "safe", effect: Effect::Safe },
-    Class { name: "keyed-all", effect: Effect::Keyed(Group::All) },
-    Class { name: "keyed-zone", effect: Effect::Keyed(Group::Zone) },
-    Class { name: "keyed-cell", effect: Effect::Keyed(Group::Cell) },
-    Class { name: "once", effect: Effect::Unsafe },
+    Class { name: "safe", idempotency: Idempotency::Idempotent },
+    Class { name: "keyed-all", idempotency: Idempotency::Keyed(DeduplicationScope::All) },
+    Class { name: "keyed-zone", idempotency: Idempotency::Keyed(DeduplicationScope::Zone) },
+    Class { name: "keyed-cell", idempotency: Idempotency::Keyed(DeduplicationScope::Cell) },
+    Class { name: "once", idempotency: Idempotency::NonIdempotent },
 ];
 
 /// What a deployment states and has.
@@ -47,7 +47,7 @@
     /// Nothing new may reach a draining worker later than this after the news.
     pub drain_grace: Micros,
     /// For how long workers recognize a keyed request.
-    pub repeat_window: Micros,
+    pub deduplication_window: Micros,
     /// A worker is warm so long after its start.
     pub warm_after: Micros,
     /// The part of its capacity that a worker starts with.
@@ -80,7 +80,7 @@
             connect_timeout: random.random_range(100..=300) * MILLISECOND,
             release: 500 * MILLISECOND,
             drain_grace: random.random_range(250..=1_000) * MILLISECOND,
-            repeat_window: random.random_range(1_000..=4_000) * MILLISECOND,
+            deduplication_window: random.random_range(1_000..=4_000) * MILLISECOND,
             warm_after: random.random_range(4..=9) * SECOND,
             cold_from: random.random_range(0.2..0.4),
             fall_multiple: 2.5,
@@ -156,23 +156,23 @@
     }
 
     fn class(&self, class: &Class) -> Value {
-        let (effect, group) = match class.effect {
-            Effect::Safe => ("read_like", None),
-            Effect::Unsafe => ("non_idempotent", None),
-            Effect::Keyed(Group::All) => ("idempotency_key", Some("all")),
-            Effect::Keyed(Group::Zone) => ("idempotency_key", Some("zone")),
-            Effect::Keyed(Group::Cell) => ("idempotency_key", Some("cell")),
+        let (idempotency, group) = match class.idempotency {
+            Idempotency::Idempotent => ("read_like", None),
+            Idempotency::NonIdempotent => ("non_idempotent", None),
+            Idempotency::Keyed(DeduplicationScope::All) => ("idempotency_key", Some("all")),
+            Idempotency::Keyed(DeduplicationScope::Zone) => ("idempotency_key", Some("zone")),
+            Idempotency::Keyed(DeduplicationScope::Cell) => ("idempotency_key", Some("cell")),
         };
         let mut value = json!({
             "name": class.name,
-            "effect": effect,
+            "effect": idempotency,
             "objective_us": SECOND,
             "give_up_us": 6 * SECOND,
             "value": 1.0,
         });
         if let Some(group) = group {
             value["dedup_scope"] = json!(group);
-            value["repeat_window_us"] = json!(self.repeat_window);
+            value["repeat_window_us"] = json!(self.deduplication_window);
         }
         value
     }
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -1,10 +1,10 @@
 //! The usual clients: an open loop of requests to each router.
 
 use crate::deployment::{CLASSES, Deployment};
-use fleet_emulator::client::{Clients, Manners, Outcome, Request};
+use fleet_emulator::client::{ClientBehaviour, Clients, Outcome, Request};
 use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
 use fleet_emulator::fleet::Network;
-use fleet_emulator::history::{Effect, History, RouterIndex};
+use fleet_emulator::history::{History, Idempotency, RouterIndex};
 use rand::Rng;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -99,12 +99,13 @@
             if !is_open && !self.clients[router].has_idle() {
                 return;
             }
-            let outcome = self.clients[router].send(&request, self.draw_manners(request.patience)).await;
+            let outcome =
+                self.clients[router].send(&request, self.draw_behaviour(request.first_token_timeout)).await;
             let wait = match outcome {
                 Outcome::Served => return,
                 Outcome::Refused(retry_after) if rand::rng().random_bool(0.5) => retry_after.unwrap_or(0),
                 Outcome::Refused(_) => 0,
-                Outcome::Failed if request.effect == Effect::Safe => 100 * MILLISECOND,
+                Outcome::Failed if request.idempotency == Idempotency::Idempotent => 100 * MILLISECOND,
                 Outcome::Failed => return,
             };
             if self.is_over.load(Ordering::Relaxed) {
@@ -115,11 +116,12 @@
         }
     }
 
-    fn draw_manners(&self, patience: Micros) -> Manners {
+    fn draw_behaviour(&self, first_token_timeout: Micros) -> ClientBehaviour {
         let Mood { leaving, slow, .. } = *self.mood();
         let mut random = rand::rng();
-        let leaves_after = random.random_bool(leaving).then(|| random.random_range(0..patience.min(SECOND)));
-        Manners { leaves_after, writes_slowly: random.random_bool(slow) }
+        let disconnects_after =
+            random.random_bool(leaving).then(|| random.random_range(0..first_token_timeout.min(SECOND)));
+        ClientBehaviour { disconnects_after, writes_slowly: random.random_bool(slow) }
     }
 }
 
@@ -130,7 +132,7 @@
 fn draw_request() -> Request {
     let mut random = rand::rng();
     let class = CLASSES[random.random_range(0..CLASSES.len())];
-    let patience = if random.random_bool(HURRIED) {
+    let first_token_timeout = if random.random_bool(HURRIED) {
         random.random_range(5 * MILLISECOND..80 * MILLISECOND)
     } else {
         random.random_range(1_200 * MILLISECOND..4 * SECOND)
@@ -139,11 +141,11 @@
     Request {
         name: next_name(),
         class: class.name,
-        effect: class.effect,
+        idempotency: class.idempotency,
         session: format!("s{}", random.random_range(0..500)),
         prefix,
         prompt_tokens: random.random_range(450..2_500),
         max_tokens: random.random_range(8..80),
-        patience,
+        first_token_timeout,
     }
 }
--- a/crates/fault-soak/src/oracle/answers.rs
+++ b/crates/fault-soak/src/oracle/answers.rs
@@ -1,7 +1,7 @@
 //! Final answers and streams, as clients see them.
 
 use super::view::{Request, View};
-use super::{Findings, Promise, TOLERANCE};
+use super::{Findings, Invariant, TOLERANCE};
 use fleet_emulator::clock::{MILLISECOND, Micros};
 use fleet_emulator::history::ConnectionEnd;
 use std::collections::BTreeMap;
@@ -25,36 +25,42 @@
 }
 
 fn check_final_answer(view: &View, findings: &mut Findings<'_>, request: &Request) {
-    let Some((sent, patience)) = request.sent() else { return };
+    let Some((sent, first_token_timeout)) = request.sent() else { return };
     if request.left.is_some() {
         return;
     }
     let name = Some(&request.name);
     if let Some(answer) = &request.answer {
-        let late_by = answer.at.saturating_sub(sent + patience);
+        let late_by = answer.at.saturating_sub(sent + first_token_timeout);
         if late_by > LATE {
             let detail = format!("answered {} ms after its time", late_by / MILLISECOND);
-            findings.add(Promise::FinalAnswer, answer.at, request.router, name, detail);
+            findings.add(Invariant::FinalResponse, answer.at, request.router, name, detail);
         }
         let is_refusal = matches!(answer.status, 429 | 503);
         if is_refusal && !answer.has_retry_after {
-            findings.add(Promise::RetryAdvice, answer.at, request.router, name, "refused without advice");
+            findings.add(
+                Invariant::RetryAfterPresent,
+                answer.at,
+                request.router,
+                name,
+                "refused without advice",
+            );
         }
         return;
     }
     let last = request.sendings.last();
     if let Some((at, end)) = last.and_then(|sending| sending.unanswered) {
         if !is_excused(view, request, sent, at, end) {
-            let carried = last.map_or(0, |sending| sending.carried_before);
+            let carried = last.map_or(0, |sending| sending.prior_requests);
             let waited = at.saturating_sub(sent) / MILLISECOND;
             let detail =
                 format!("connection {end:?} with no answer after {waited} ms, {carried} carried before");
-            findings.add(Promise::FinalAnswer, at, request.router, name, detail);
+            findings.add(Invariant::FinalResponse, at, request.router, name, detail);
         }
         return;
     }
     if let Some(at) = request.nothing_heard {
-        findings.add(Promise::FinalAnswer, at, request.router, name, "no answer at all");
+        findings.add(Invariant::FinalResponse, at, request.router, name, "no answer at all");
     }
 }
 
@@ -84,7 +90,13 @@
     let before = request.attempts.iter().find(|attempt| attempt.begun < resent.begun);
     if let Some(attempt) = before {
         let detail = "its first connection ended without an answer, but it had been sent on";
-        findings.add(Promise::ReadThenAnswered, attempt.begun, request.router, Some(&request.name), detail);
+        findings.add(
+            Invariant::ForwardedThenAnswered,
+            attempt.begun,
+            request.router,
+            Some(&request.name),
+            detail,
+        );
     }
 }
 
@@ -92,12 +104,12 @@
     let name = Some(&request.name);
     let Some(answer) = request.answer.as_ref().filter(|answer| answer.status == 200) else { return };
     if let Some(at) = request.nothing_heard {
-        findings.add(Promise::StreamEnded, at, request.router, name, "a dead stream was not ended");
+        findings.add(Invariant::DeadStreamClosed, at, request.router, name, "a dead stream was not ended");
     }
     let Some(end) = &request.end else { return };
     if !end.is_intact {
         findings.add(
-            Promise::StreamIntact,
+            Invariant::StreamIntact,
             end.at,
             request.router,
             name,
@@ -105,16 +117,17 @@
         );
     }
     let was_killed = view.life(request.router, answer.at).is_some_and(|life| life.killed.is_some());
-    if end.is_whole || request.left.is_some() || was_killed {
+    if end.is_complete || request.left.is_some() || was_killed {
         return;
     }
     let finished = request.attempts.iter().find(|attempt| {
-        let is_whole = attempt.answer.as_ref().is_some_and(|answer| answer.status == 200 && answer.is_whole);
-        is_whole && attempt.broken.is_none() && !attempt.is_silenced
+        let is_complete =
+            attempt.answer.as_ref().is_some_and(|answer| answer.status == 200 && answer.is_complete);
+        is_complete && attempt.broken.is_none() && !attempt.is_silenced
     });
     if finished.is_some() {
         let detail = "cut off, though its worker had finished it";
-        findings.add(Promise::StreamForwarded, end.at, request.router, name, detail);
+        findings.add(Invariant::StreamComplete, end.at, request.router, name, detail);
     }
 }
 
@@ -124,7 +137,7 @@
     for request in view.requests.values() {
         let outcome = match (&request.answer, &request.end) {
             _ if request.left.is_some() => "left",
-            (Some(answer), Some(end)) if answer.status == 200 && end.is_whole => "served",
+            (Some(answer), Some(end)) if answer.status == 200 && end.is_complete => "served",
             (Some(answer), _) if answer.status == 200 => "cut off",
             (Some(answer), _) if matches!(answer.status, 429 | 503) => "refused",
             (Some(_), _) => "failed",
--- a/crates/fault-soak/src/oracle/attempts.rs
+++ b/crates/fault-soak/src/oracle/attempts.rs
@@ -1,10 +1,10 @@
 //! Attempts, as the network sees them leave the router.
 
 use super::view::{Attempt, Request, View, WorkerFacts};
-use super::{Findings, Promise, TOLERANCE};
+use super::{Findings, Invariant, TOLERANCE};
 use crate::deployment::Deployment;
 use fleet_emulator::clock::{MILLISECOND, Micros};
-use fleet_emulator::history::{Effect, Group, Role};
+use fleet_emulator::history::{DeduplicationScope, Idempotency, Role};
 
 /// An attempt may begin this much after its client closed.
 const LEAVE_GRACE: Micros = 100 * MILLISECOND;
@@ -29,17 +29,17 @@
     let (name, begun) = (Some(&request.name), attempt.begun);
     if let Some(left) = request.left.filter(|left| begun > left + LEAVE_GRACE + TOLERANCE) {
         let detail = format!("an attempt began {} ms after its client left", (begun - left) / MILLISECOND);
-        findings.add(Promise::NothingAfterLeave, begun, attempt.router, name, detail);
+        findings.add(Invariant::NoAttemptAfterDisconnect, begun, attempt.router, name, detail);
     }
     if let Some(answer) = request.answer.as_ref().filter(|answer| begun > answer.at + TOLERANCE) {
         let detail = format!("an attempt began {} ms after the answer", (begun - answer.at) / MILLISECOND);
-        findings.add(Promise::NothingAfterAnswer, begun, attempt.router, name, detail);
+        findings.add(Invariant::NoAttemptAfterResponse, begun, attempt.router, name, detail);
     }
-    if let (Some(told), Some(deadline)) = (attempt.told_time, request.deadline()) {
+    if let (Some(told), Some(deadline)) = (attempt.propagated_timeout, request.deadline()) {
         let left = deadline.saturating_sub(begun);
         if told > left + TOLD_SLACK + TOLERANCE {
             let detail = format!("told {} ms, {} ms were left", told / MILLISECOND, left / MILLISECOND);
-            findings.add(Promise::ToldTime, begun, attempt.router, name, detail);
+            findings.add(Invariant::DeadlinePropagated, begun, attempt.router, name, detail);
         }
     }
 }
@@ -48,7 +48,7 @@
     let count = request.attempts.len();
     if let Some(last) = request.attempts.last().filter(|_| count > Deployment::MAX_ATTEMPTS) {
         let detail = format!("{count} attempts");
-        findings.add(Promise::AttemptLimit, last.begun, last.router, Some(&request.name), detail);
+        findings.add(Invariant::AttemptLimit, last.begun, last.router, Some(&request.name), detail);
     }
 }
 
@@ -65,16 +65,22 @@
                 "a second copy at worker {} while one was out at worker {}",
                 later.worker, earlier.worker
             );
-            findings.add(Promise::OneAttemptOut, arrived, later.router, Some(&request.name), detail);
+            findings.add(
+                Invariant::SingleAttemptInFlight,
+                arrived,
+                later.router,
+                Some(&request.name),
+                detail,
+            );
         }
     }
 }
 
-fn same_group(group: Group, one: &WorkerFacts, other: &WorkerFacts) -> bool {
+fn in_same_scope(group: DeduplicationScope, one: &WorkerFacts, other: &WorkerFacts) -> bool {
     match group {
-        Group::All => true,
-        Group::Zone => one.zone == other.zone,
-        Group::Cell => one.cell == other.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => one.zone == other.zone,
+        DeduplicationScope::Cell => one.cell == other.cell,
     }
 }
 
@@ -88,31 +94,32 @@
     // A worker whose machine vanished took the bytes, perhaps: the router can't know better than its socket does.
     for later in request.attempts.iter().filter(decodes).filter(|attempt| attempt.begun > first.begun) {
         let Some(arrived) = later.arrived else { continue };
-        let is_allowed = match request.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed(group) => {
+        let is_allowed = match request.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed(group) => {
                 let in_group = view
                     .workers
                     .get(&first.worker)
                     .zip(view.workers.get(&later.worker))
-                    .is_some_and(|(one, other)| same_group(group, one, other));
-                in_group && arrived <= first.begun + deployment.repeat_window + SLACK + TOLERANCE
+                    .is_some_and(|(one, other)| in_same_scope(group, one, other));
+                in_group && arrived <= first.begun + deployment.deduplication_window + SLACK + TOLERANCE
             }
         };
         if !is_allowed {
             let after = (arrived - first.begun) / MILLISECOND;
             let detail = format!(
                 "{:?}: sent to worker {} {after} ms after an attempt at worker {} that may have run",
-                request.effect, later.worker, first.worker
+                request.idempotency, later.worker, first.worker
             );
-            findings.add(Promise::EffectOnce, arrived, later.router, name, detail);
+            findings.add(Invariant::IdempotencyRespected, arrived, later.router, name, detail);
         }
     }
-    let is_harmless = matches!(request.effect, Effect::Safe | Effect::Keyed(Group::All));
+    let is_harmless =
+        matches!(request.idempotency, Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All));
     let refusal = request.answer.as_ref().filter(|answer| matches!(answer.status, 429 | 503));
     if let Some(refusal) = refusal.filter(|_| !is_harmless) {
-        let detail = format!("{:?}: refused after an attempt that may have run", request.effect);
-        findings.add(Promise::HonestRefusal, refusal.at, request.router, name, detail);
+        let detail = format!("{:?}: refused after an attempt that may have run", request.idempotency);
+        findings.add(Invariant::RejectionSafeToRetry, refusal.at, request.router, name, detail);
     }
 }
--- a/crates/fault-soak/src/oracle/caches.rs
+++ b/crates/fault-soak/src/oracle/caches.rs
@@ -1,7 +1,7 @@
 //! What prefill workers hold for a request: taken over or released in time.
 
 use super::view::{Attempt, Request, View};
-use super::{Findings, Promise, TOLERANCE};
+use super::{Findings, Invariant, TOLERANCE};
 use crate::deployment::Deployment;
 use fleet_emulator::clock::{MILLISECOND, Micros};
 
@@ -39,7 +39,7 @@
     }
     let time = (until.min(since + 60 * 1_000_000) - since) / MILLISECOND;
     let detail = format!("held at worker {worker} for {time} ms while no attempt was out");
-    findings.add(Promise::CacheReleased, since + limit, router, Some(&request.name), detail);
+    findings.add(Invariant::CacheReleased, since + limit, router, Some(&request.name), detail);
 }
 
 /// The longest time between `held` and `gone` in which no attempt was out at a running worker.
--- a/crates/fault-soak/src/oracle/clients.rs
+++ b/crates/fault-soak/src/oracle/clients.rs
@@ -1,7 +1,7 @@
 //! Misbehaving clients get an error or a close in time.
 
 use super::view::View;
-use super::{Findings, Promise};
+use super::{Findings, Invariant};
 use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
 use fleet_emulator::history::{Record, RouterIndex};
 use std::collections::HashMap;
@@ -15,15 +15,15 @@
     let mut begun: HashMap<u64, (Micros, RouterIndex, &'static str)> = HashMap::new();
     for entry in &view.entries {
         match entry.record {
-            Record::BadClientBegun { router, kind, number } => {
+            Record::MisbehavingClientConnected { router, kind, number } => {
                 begun.insert(number, (entry.at, router, kind));
             }
-            Record::BadClientEnded { number, got_its_due } => {
+            Record::MisbehavingClientEnded { number, was_rejected } => {
                 let Some((since, router, kind)) = begun.remove(&number) else { continue };
                 let took = entry.at - since;
-                if !got_its_due || took > OWED_WITHIN + TOLERANCE {
-                    let detail = format!("{kind}: due {got_its_due} after {} ms", took / MILLISECOND);
-                    findings.add(Promise::BadClientsAnswered, entry.at, router, None, detail);
+                if !was_rejected || took > OWED_WITHIN + TOLERANCE {
+                    let detail = format!("{kind}: due {was_rejected} after {} ms", took / MILLISECOND);
+                    findings.add(Invariant::MisbehavingClientsRejected, entry.at, router, None, detail);
                 }
             }
             _ => {}
--- a/crates/fault-soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -1,7 +1,7 @@
 //! Workers that drain or are gone get nothing new.
 
 use super::view::View;
-use super::{Findings, Promise, TOLERANCE};
+use super::{Findings, Invariant, TOLERANCE};
 use crate::deployment::Deployment;
 use fleet_emulator::clock::{MILLISECOND, Micros};
 use fleet_emulator::history::{Record, RouterIndex, WorkerIndex};
@@ -19,13 +19,13 @@
     let mut news: HashMap<(RouterIndex, WorkerIndex), Vec<(Micros, bool)>> = HashMap::new();
     for entry in &view.entries {
         match entry.record {
-            Record::AgentDisturbed { router, excused } => {
-                excuses.entry(router).or_default().push((entry.at, entry.at + excused));
+            Record::DiscoveryDisturbed { router, allowance } => {
+                excuses.entry(router).or_default().push((entry.at, entry.at + allowance));
             }
-            Record::Withdrawn { router, worker } => {
+            Record::WorkerWithdrawn { router, worker } => {
                 news.entry((router, worker)).or_default().push((entry.at, false))
             }
-            Record::InService { router, worker } => {
+            Record::WorkerInService { router, worker } => {
                 news.entry((router, worker)).or_default().push((entry.at, true))
             }
             _ => {}
@@ -41,7 +41,7 @@
                 let detail =
                     format!("worker {} was withdrawn {} ms before", attempt.worker, late_by / MILLISECOND);
                 let name = Some(&request.name);
-                findings.add(Promise::DrainRespected, attempt.begun, attempt.router, name, detail);
+                findings.add(Invariant::DrainRespected, attempt.begun, attempt.router, name, detail);
             }
         }
     }
@@ -55,6 +55,6 @@
     }
     // The first word of its withdrawal since it was last in service.
     let since = known.iter().rev().take_while(|(_, is_ready)| !is_ready).last().map(|(at, _)| *at)?;
-    let excused = excuses.iter().filter(|(from, until)| *from <= since && since <= *until);
-    Some(excused.map(|(_, until)| *until).max().unwrap_or(since).max(since))
+    let allowance = excuses.iter().filter(|(from, until)| *from <= since && since <= *until);
+    Some(allowance.map(|(_, until)| *until).max().unwrap_or(since).max(since))
 }
--- a/crates/fault-soak/src/oracle/mod.rs
+++ b/crates/fault-soak/src/oracle/mod.rs
@@ -1,6 +1,6 @@
 //! Holds what was seen against the router's promises.
 //!
-//! Each promise has a check of its own in a module beside this one; [`View`] sorts the records for them.
+//! Each invariant has a check of its own in a module beside this one; [`View`] sorts the records for them.
 
 mod answers;
 mod attempts;
@@ -16,42 +16,42 @@
 
 use crate::deployment::Deployment;
 use fleet_emulator::clock::{MILLISECOND, Micros};
-use fleet_emulator::history::{Entry, RequestName, RouterIndex};
+use fleet_emulator::history::{Entry, RequestId, RouterIndex};
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// The stand-ins see things this much late, in the ordinary course.
 pub const TOLERANCE: Micros = 20 * MILLISECOND;
 
-/// A promise of the router.
+/// A invariant of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Promise {
+pub enum Invariant {
     /// Each request taken gets one final answer, in time.
-    FinalAnswer,
+    FinalResponse,
     /// A request is read only by the connection that answers it.
-    ReadThenAnswered,
+    ForwardedThenAnswered,
     /// A stream is what one worker sent, whole.
     StreamIntact,
     /// A stream that its worker finished is forwarded to its end.
-    StreamForwarded,
+    StreamComplete,
     /// A stream that died ends its client's connection in time.
-    StreamEnded,
+    DeadStreamClosed,
     /// Nothing begins for a client that has left.
-    NothingAfterLeave,
+    NoAttemptAfterDisconnect,
     /// Nothing begins for a request that has been answered.
-    NothingAfterAnswer,
+    NoAttemptAfterResponse,
     /// A worker is told no more time than the client has left.
-    ToldTime,
+    DeadlinePropagated,
     /// No more attempts than allowed.
     AttemptLimit,
     /// One attempt at a time.
-    OneAttemptOut,
+    SingleAttemptInFlight,
     /// What must not run twice does not.
-    EffectOnce,
+    IdempotencyRespected,
     /// A refusal promises that trying again is harmless.
-    HonestRefusal,
+    RejectionSafeToRetry,
     /// A refusal tells when to come back.
-    RetryAdvice,
+    RetryAfterPresent,
     /// Nothing new to a worker that drains or is gone.
     DrainRespected,
     /// What is held is taken over or released in time.
@@ -59,30 +59,30 @@
     /// Cold workers get what they can take.
     SlowStart,
     /// Misbehaving clients get an error or a close in time.
-    BadClientsAnswered,
+    MisbehavingClientsRejected,
     /// The process ends only when told, and in order.
     NoCrash,
     /// A router that starts is ready in time.
     ReadyInTime,
     /// Memory and descriptors stay within their limits.
-    WithinLimits,
+    ResourceLimits,
     /// The program itself counted no violation and caught no panic.
-    NoComplaint,
+    CleanLog,
     /// Service is back soon after the troubles.
     Recovery,
 }
 
-/// A broken promise.
+/// A broken invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The promise.
-    pub promise: Promise,
+    /// The invariant.
+    pub invariant: Invariant,
     /// When it was broken.
     pub at: Micros,
     /// The router.
     pub router: RouterIndex,
     /// The request, if it is about one.
-    pub request: Option<RequestName>,
+    pub request: Option<RequestId>,
     /// What was seen.
     pub detail: String,
     /// The stand-ins were late around that moment: it may be their doing.
@@ -93,7 +93,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let request = self.request.as_deref().unwrap_or("-");
         let doubt = if self.is_doubtful { " (doubtful: the harness was late)" } else { "" };
-        write!(f, "{:?}: router {}, request {request}: {}{doubt}", self.promise, self.router, self.detail)
+        write!(f, "{:?}: router {}, request {request}: {}{doubt}", self.invariant, self.router, self.detail)
     }
 }
 
@@ -106,15 +106,15 @@
 impl Findings<'_> {
     fn add(
         &mut self,
-        promise: Promise,
+        invariant: Invariant,
         at: Micros,
         router: RouterIndex,
-        request: Option<&RequestName>,
+        request: Option<&RequestId>,
         detail: impl Into<String>,
     ) {
         let is_doubtful = self.view.harness_was_late_around(at);
         let (request, detail) = (request.cloned(), detail.into());
-        self.found.push(Violation { promise, at, router, request, detail, is_doubtful });
+        self.found.push(Violation { invariant, at, router, request, detail, is_doubtful });
     }
 }
 
@@ -146,7 +146,7 @@
     processes::check(&view, deployment, &mut findings);
     let recovered_share = recovery::check(&view, watched, &mut findings);
     let mut found = findings.found;
-    found.sort_by_key(|violation| (violation.promise, violation.at));
+    found.sort_by_key(|violation| (violation.invariant, violation.at));
     let summary =
         Summary { outcomes: answers::outcomes(&view), recovered_share, held_back: answers::held_back(&view) };
     (found, summary)
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -1,7 +1,7 @@
 //! Service is back soon after the last trouble.
 
 use super::view::{Request, View};
-use super::{Findings, Promise};
+use super::{Findings, Invariant};
 use fleet_emulator::clock::{MILLISECOND, Micros};
 use fleet_emulator::history::RouterIndex;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
     let mut routers: BTreeMap<RouterIndex, (usize, usize)> = BTreeMap::new();
     for request in view.requests.values().filter(|request| counts(request, watched)) {
         let (served, all) = routers.entry(request.router).or_default();
-        let is_served = request.end.as_ref().is_some_and(|end| end.is_whole)
+        let is_served = request.end.as_ref().is_some_and(|end| end.is_complete)
             && request.answer.as_ref().is_some_and(|answer| answer.status == 200);
         *served += usize::from(is_served);
         *all += 1;
@@ -26,7 +26,7 @@
     for (router, (served, all)) in &routers {
         if *all >= ENOUGH && (*served as f64) < WANTED * *all as f64 {
             let detail = format!("{served} of {all} served after the troubles");
-            findings.add(Promise::Recovery, watched.1, *router, None, detail);
+            findings.add(Invariant::Recovery, watched.1, *router, None, detail);
         }
     }
     let (served, all) = routers.values().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
@@ -34,6 +34,6 @@
 }
 
 fn counts(request: &Request, (from, until): (Micros, Micros)) -> bool {
-    let Some((sent, patience)) = request.sent() else { return false };
-    (from..until).contains(&sent) && patience >= LEAST_PATIENCE && request.left.is_none()
+    let Some((sent, first_token_timeout)) = request.sent() else { return false };
+    (from..until).contains(&sent) && first_token_timeout >= LEAST_PATIENCE && request.left.is_none()
 }
--- a/crates/fault-soak/src/oracle/slow_start.rs
+++ b/crates/fault-soak/src/oracle/slow_start.rs
@@ -1,10 +1,10 @@
 //! Cold workers get no more from all routers together than they can take.
 
 use super::view::View;
-use super::{Findings, Promise};
+use super::{Findings, Invariant};
 use crate::deployment::Deployment;
 use fleet_emulator::clock::{MILLISECOND, Micros, SECOND};
-use fleet_emulator::history::{Call, Record, Role, WorkerIndex};
+use fleet_emulator::history::{CallKind, Record, Role, WorkerIndex};
 use std::collections::HashMap;
 
 /// Warm workers are taken to be able to do so many times what they are sent.
@@ -26,7 +26,7 @@
             Record::WorkerStarted { worker, role, is_cold: true, .. } => {
                 starts.push(ColdStart { worker, role, at: entry.at });
             }
-            Record::CallArrived { call: Call::Attempt, worker, .. } => {
+            Record::CallReceived { call: CallKind::Attempt, worker, .. } => {
                 calls.entry(worker).or_default().push(entry.at);
             }
             _ => {}
@@ -75,7 +75,7 @@
                 start.worker,
                 (from - start.at) / MILLISECOND
             );
-            findings.add(Promise::SlowStart, until, 0, None, detail);
+            findings.add(Invariant::SlowStart, until, 0, None, detail);
             return;
         }
     }
--- a/crates/fault-soak/src/oracle/view.rs
+++ b/crates/fault-soak/src/oracle/view.rs
@@ -2,7 +2,8 @@
 
 use fleet_emulator::clock::{MILLISECOND, Micros};
 use fleet_emulator::history::{
-    Call, ConnectionEnd, ConnectionNumber, Effect, Entry, Record, RequestName, Role, RouterIndex, WorkerIndex,
+    CallKind, ConnectionEnd, ConnectionNumber, Entry, Idempotency, Record, RequestId, Role, RouterIndex,
+    WorkerIndex,
 };
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,10 +15,10 @@
 pub struct Sending {
     /// When its first byte was written.
     pub begun: Micros,
-    /// When its last byte was written, and the client's patience.
+    /// When its last byte was written, and the client's first_token_timeout.
     pub sent: Option<(Micros, Micros)>,
     /// Requests that the connection had carried before.
-    pub carried_before: u32,
+    pub prior_requests: u32,
     /// Whether it is sent again.
     pub is_resent: bool,
     /// How the connection ended, if without an answer.
@@ -41,7 +42,7 @@
     /// When.
     pub at: Micros,
     /// Whether it came to its proper end.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Whether it is what one worker sent.
     pub is_intact: bool,
     /// The longest time that an event was under way.
@@ -56,9 +57,9 @@
     /// Its status; 0 where there was none.
     pub status: u16,
     /// Whether it proves that the request has not run.
-    pub never_ran: bool,
+    pub had_no_effect: bool,
     /// Whether it came to its proper end.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// One attempt at a worker.
@@ -73,7 +74,7 @@
     /// When its first byte was written.
     pub begun: Micros,
     /// The time that the worker was told.
-    pub told_time: Option<Micros>,
+    pub propagated_timeout: Option<Micros>,
     /// When its last byte reached the running worker.
     pub arrived: Option<Micros>,
     /// The worker's answer.
@@ -93,9 +94,9 @@
         [answered, self.closed, self.broken].into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 
-    /// Whether it may have had an effect.
+    /// Whether it may have had an idempotency.
     pub fn may_have_run(&self) -> bool {
-        self.arrived.is_some() && !self.answer.as_ref().is_some_and(|answer| answer.never_ran)
+        self.arrived.is_some() && !self.answer.as_ref().is_some_and(|answer| answer.had_no_effect)
     }
 }
 
@@ -103,11 +104,11 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
-    pub name: RequestName,
+    pub name: RequestId,
     /// The router.
     pub router: RouterIndex,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The times it was sent.
     pub sendings: Vec<Sending>,
     /// When its client left.
@@ -129,14 +130,14 @@
 }
 
 impl Request {
-    /// The last time it was sent whole, and the client's patience.
+    /// The last time it was sent whole, and the client's first_token_timeout.
     pub fn sent(&self) -> Option<(Micros, Micros)> {
         self.sendings.iter().rev().find_map(|sending| sending.sent)
     }
 
     /// When its time is up.
     pub fn deadline(&self) -> Option<Micros> {
-        self.sent().map(|(at, patience)| at + patience)
+        self.sent().map(|(at, first_token_timeout)| at + first_token_timeout)
     }
 }
 
@@ -172,7 +173,7 @@
     /// All records.
     pub entries: Vec<Entry>,
     /// Requests by their ids.
-    pub requests: BTreeMap<RequestName, Request>,
+    pub requests: BTreeMap<RequestId, Request>,
     /// The lives of each router's process.
     pub lives: BTreeMap<RouterIndex, Vec<Life>>,
     /// Workers.
@@ -185,7 +186,7 @@
     /// Sorts records, which are in the order of their moments.
     pub fn new(entries: &[Entry]) -> Self {
         let mut view = View { entries: entries.to_vec(), ..View::default() };
-        let mut connections: HashMap<ConnectionNumber, RequestName> = HashMap::new();
+        let mut connections: HashMap<ConnectionNumber, RequestId> = HashMap::new();
         for entry in entries {
             view.take(entry.at, &entry.record, &mut connections);
         }
@@ -202,7 +203,7 @@
         self.lives.get(&router)?.iter().rev().find(|life| life.started <= at)
     }
 
-    fn attempt(&mut self, request: &RequestName, connection: ConnectionNumber) -> Option<&mut Attempt> {
+    fn attempt(&mut self, request: &RequestId, connection: ConnectionNumber) -> Option<&mut Attempt> {
         let attempts = &mut self.requests.get_mut(request)?.attempts;
         attempts.iter_mut().rev().find(|attempt| attempt.connection == connection)
     }
@@ -211,23 +212,18 @@
     fn attempt_on(
         &mut self,
         connection: ConnectionNumber,
-        connections: &HashMap<ConnectionNumber, RequestName>,
+        connections: &HashMap<ConnectionNumber, RequestId>,
     ) -> Option<&mut Attempt> {
         self.attempt(connections.get(&connection)?, connection)
     }
 
-    fn take(
-        &mut self,
-        at: Micros,
-        record: &Record,
-        connections: &mut HashMap<ConnectionNumber, RequestName>,
-    ) {
+    fn take(&mut self, at: Micros, record: &Record, connections: &mut HashMap<ConnectionNumber, RequestId>) {
         match record {
-            Record::RequestBegun { request, router, effect, carried_before, is_resent } => {
+            Record::RequestStarted { request, router, idempotency, prior_requests, is_resent } => {
                 let fresh = || Request {
                     name: request.clone(),
                     router: *router,
-                    effect: *effect,
+                    idempotency: *idempotency,
                     sendings: Vec::new(),
                     left: None,
                     answer: None,
@@ -238,18 +234,25 @@
                     held: Vec::new(),
                     gone: Vec::new(),
                 };
-                let (carried_before, is_resent) = (*carried_before, *is_resent);
-                let sending = Sending { begun: at, sent: None, carried_before, is_resent, unanswered: None };
+                let (prior_requests, is_resent) = (*prior_requests, *is_resent);
+                let sending = Sending { begun: at, sent: None, prior_requests, is_resent, unanswered: None };
                 self.requests.entry(request.clone()).or_insert_with(fresh).sendings.push(sending);
             }
-            Record::CallBegun { call: Call::Attempt, request, router, worker, connection, told_time } => {
+            Record::CallStarted {
+                call: CallKind::Attempt,
+                request,
+                router,
+                worker,
+                connection,
+                propagated_timeout,
+            } => {
                 connections.insert(*connection, request.clone());
                 let attempt = Attempt {
                     connection: *connection,
                     router: *router,
                     worker: *worker,
                     begun: at,
-                    told_time: *told_time,
+                    propagated_timeout: *propagated_timeout,
                     arrived: None,
                     answer: None,
                     closed: None,
@@ -260,29 +263,34 @@
                     request.attempts.push(attempt);
                 }
             }
-            Record::CallArrived { call: Call::Attempt, request, connection, .. } => {
+            Record::CallReceived { call: CallKind::Attempt, request, connection, .. } => {
                 if let Some(attempt) = self.attempt(request, *connection) {
                     attempt.arrived = Some(at);
                 }
             }
-            Record::CallAnswered { request, connection, status, never_ran, is_whole, .. } => {
-                let answer = CallAnswer { at, status: *status, never_ran: *never_ran, is_whole: *is_whole };
+            Record::CallCompleted { request, connection, status, had_no_effect, is_complete, .. } => {
+                let answer = CallAnswer {
+                    at,
+                    status: *status,
+                    had_no_effect: *had_no_effect,
+                    is_complete: *is_complete,
+                };
                 if let Some(attempt) = self.attempt(request, *connection) {
                     // Later answers on the connection are to other calls.
                     attempt.answer.get_or_insert(answer);
                 }
             }
-            Record::ConnectionEnded { connection } => {
+            Record::ConnectionClosedByRouter { connection } => {
                 if let Some(attempt) = self.attempt_on(*connection, connections) {
                     attempt.closed.get_or_insert(at);
                 }
             }
-            Record::ConnectionSilenced { connection } => {
+            Record::ConnectionStalled { connection } => {
                 if let Some(attempt) = self.attempt_on(*connection, connections) {
                     attempt.is_silenced = true;
                 }
             }
-            Record::ConnectionBroken { connection } => {
+            Record::ConnectionClosedByWorker { connection } => {
                 if let Some(attempt) = self.attempt_on(*connection, connections) {
                     attempt.broken.get_or_insert(at);
                 }
@@ -290,7 +298,7 @@
             Record::WorkerStarted { worker, role, zone, cell, .. } => {
                 self.workers.insert(*worker, WorkerFacts { role: *role, zone: *zone, cell: *cell });
             }
-            Record::HarnessLate { by } => self.lateness.push((at, *by)),
+            Record::HarnessDelayed { by } => self.lateness.push((at, *by)),
             _ => {
                 self.take_of_client(at, record);
                 self.take_of_router(at, record);
@@ -302,28 +310,28 @@
         let request = record.request().and_then(|request| self.requests.get_mut(request));
         let Some(request) = request else { return };
         match record {
-            Record::RequestSent { patience, .. } => {
+            Record::RequestSent { first_token_timeout, .. } => {
                 if let Some(sending) = request.sendings.last_mut() {
-                    sending.sent = Some((at, *patience));
+                    sending.sent = Some((at, *first_token_timeout));
                 }
             }
-            Record::ClientLeft { .. } => request.left = Some(at),
-            Record::AnswerBegun { status, has_retry_after, .. } => {
+            Record::ClientDisconnected { .. } => request.left = Some(at),
+            Record::ResponseStarted { status, has_retry_after, .. } => {
                 request.answer = Some(Answer { at, status: *status, has_retry_after: *has_retry_after });
             }
-            Record::FirstEvent { .. } => request.first_event = Some(at),
-            Record::AnswerEnded { is_whole, is_intact, longest_delay, .. } => {
-                let (is_whole, is_intact, longest_delay) = (*is_whole, *is_intact, *longest_delay);
-                request.end = Some(AnswerEnd { at, is_whole, is_intact, longest_delay });
+            Record::FirstEventReceived { .. } => request.first_event = Some(at),
+            Record::ResponseEnded { is_complete, is_intact, longest_delay, .. } => {
+                let (is_complete, is_intact, longest_delay) = (*is_complete, *is_intact, *longest_delay);
+                request.end = Some(AnswerEnd { at, is_complete, is_intact, longest_delay });
             }
-            Record::Unanswered { end, .. } => {
+            Record::ConnectionEndedUnanswered { end, .. } => {
                 if let Some(sending) = request.sendings.last_mut() {
                     sending.unanswered = Some((at, *end));
                 }
             }
-            Record::NothingHeard { .. } => request.nothing_heard = Some(at),
-            Record::CacheHeld { worker, .. } => request.held.push((at, *worker)),
-            Record::CacheGone { .. } => request.gone.push(at),
+            Record::ResponseTimedOut { .. } => request.nothing_heard = Some(at),
+            Record::CacheReserved { worker, .. } => request.held.push((at, *worker)),
+            Record::CacheReservationEnded { .. } => request.gone.push(at),
             _ => {}
         }
     }
@@ -346,7 +354,9 @@
             Record::RouterReady { .. } => life.ready = Some(at),
             Record::RouterSignalled { signal: "SIGTERM", .. } => life.told_to_end = Some(at),
             Record::RouterSignalled { signal: "SIGKILL", .. } => life.killed = Some(at),
-            Record::RouterExited { is_orderly, how, .. } => life.ended = Some((at, *is_orderly, how.clone())),
+            Record::RouterExited { was_expected, how, .. } => {
+                life.ended = Some((at, *was_expected, how.clone()))
+            }
             _ => {}
         }
     }
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -1,6 +1,6 @@
 //! What a run found, for people to read.
 
-use crate::oracle::{Promise, Summary, Violation};
+use crate::oracle::{Invariant, Summary, Violation};
 use crate::run::Finished;
 use fleet_emulator::clock::{MILLISECOND, Micros};
 use fleet_emulator::history::{Entry, Record};
@@ -9,9 +9,9 @@
 use std::io;
 use std::path::Path;
 
-/// Violations of one promise that are shown in full.
+/// Violations of one invariant that are shown in full.
 const SHOWN_IN_FULL: usize = 2;
-/// Violations of one promise that are listed.
+/// Violations of one invariant that are listed.
 const LISTED: usize = 12;
 
 /// The report of a run.
@@ -25,7 +25,7 @@
         let _ = writeln!(out, "  {from:>6} to {until:>6} ms  {:?}", planned.trouble);
     }
     for entry in entries {
-        if let Record::HarnessLate { by } = entry.record {
+        if let Record::HarnessDelayed { by } = entry.record {
             let _ = writeln!(
                 out,
                 "  {:>6} ms  the harness was {} ms late",
@@ -34,12 +34,12 @@
             );
         }
     }
-    let mut by_promise: BTreeMap<Promise, Vec<&Violation>> = BTreeMap::new();
+    let mut by_invariant: BTreeMap<Invariant, Vec<&Violation>> = BTreeMap::new();
     for violation in violations {
-        by_promise.entry(violation.promise).or_default().push(violation);
+        by_invariant.entry(violation.invariant).or_default().push(violation);
     }
-    for (promise, all) in by_promise {
-        let _ = writeln!(out, "\n== {promise:?}: {}", all.len());
+    for (invariant, all) in by_invariant {
+        let _ = writeln!(out, "\n== {invariant:?}: {}", all.len());
         for violation in all.iter().take(LISTED) {
             let _ = writeln!(out, "  {:>8} ms  {violation}", since(start, violation.at));
         }
@@ -68,15 +68,15 @@
 
 /// A run in one line.
 pub fn headline(violations: &[Violation], summary: &Summary) -> String {
-    let mut counts: BTreeMap<Promise, (usize, usize)> = BTreeMap::new();
+    let mut counts: BTreeMap<Invariant, (usize, usize)> = BTreeMap::new();
     for violation in violations {
-        let (all, doubtful) = counts.entry(violation.promise).or_default();
+        let (all, doubtful) = counts.entry(violation.invariant).or_default();
         *all += 1;
         *doubtful += usize::from(violation.is_doubtful);
     }
-    let list = |(promise, (all, doubtful)): (&Promise, &(usize, usize))| match doubtful {
-        0 => format!("{promise:?} {all}"),
-        _ => format!("{promise:?} {all} ({doubtful} doubtful)"),
+    let list = |(invariant, (all, doubtful)): (&Invariant, &(usize, usize))| match doubtful {
+        0 => format!("{invariant:?} {all}"),
+        _ => format!("{invariant:?} {all} ({doubtful} doubtful)"),
     };
     let found = if counts.is_empty() {
         "no violation".to_owned()
--- a/crates/fault-soak/src/router.rs
+++ b/crates/fault-soak/src/router.rs
@@ -236,7 +236,7 @@
     let mut lines = BufReader::new(stderr).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         if COMPLAINTS.iter().any(|word| line.contains(word)) {
-            history.add(Record::RouterComplained { router, line: line.clone() });
+            history.add(Record::RouterErrorLogged { router, line: line.clone() });
         }
         log.add(line);
         let _ = reads.wait_for(|reads| *reads).await;
@@ -251,13 +251,13 @@
     history: History,
 ) {
     let status: io::Result<ExitStatus> = child.wait().await;
-    let is_orderly = match *ending.lock().unwrap_or_else(PoisonError::into_inner) {
+    let was_expected = match *ending.lock().unwrap_or_else(PoisonError::into_inner) {
         Ending::Untold => false,
         Ending::Orderly => status.as_ref().is_ok_and(ExitStatus::success),
         Ending::Killed => true,
     };
     let how = status.map_or_else(|error| error.to_string(), |status| status.to_string());
-    history.add(Record::RouterExited { router, is_orderly, how });
+    history.add(Record::RouterExited { router, was_expected, how });
     end.send_replace(true);
 }
 
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -4,11 +4,11 @@
 use crate::load::Load;
 use crate::router::{Programs, Router};
 use crate::trouble::{self, Planned};
-use fleet_emulator::agent::{Health, MOVE_EXCUSES};
-use fleet_emulator::bad_client::{Misdeed, misbehave};
+use fleet_emulator::agent::{Health, MOVED_AGENT_ALLOWANCE};
 use fleet_emulator::clock::{self, MILLISECOND, Micros, SECOND};
 use fleet_emulator::fleet::{Fleet, Network};
 use fleet_emulator::history::{History, Record, Role, RouterIndex, WorkerIndex};
+use fleet_emulator::misbehaving_client::{ClientMisbehaviour, misbehave};
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -127,7 +127,7 @@
     pub async fn move_discovery(&self, router: RouterIndex) {
         let moves = self.moves[router].fetch_add(1, Ordering::Relaxed) + 1;
         let address = self.fleet.network.agent(router, moves);
-        self.history().add(Record::AgentDisturbed { router, excused: MOVE_EXCUSES });
+        self.history().add(Record::DiscoveryDisturbed { router, allowance: MOVED_AGENT_ALLOWANCE });
         if self.fleet.agent(router).clone().move_to(address).await.is_ok() {
             self.reload(router);
         }
@@ -178,9 +178,10 @@
     pub async fn send_bad_clients(self: Arc<Self>, router: RouterIndex, length: Duration) {
         let until = tokio::time::Instant::now() + length;
         while tokio::time::Instant::now() < until {
-            let misdeed = Misdeed::ALL[rand::rng().random_range(0..Misdeed::ALL.len())];
+            let misbehaviour =
+                ClientMisbehaviour::ALL[rand::rng().random_range(0..ClientMisbehaviour::ALL.len())];
             let address = self.routers[router].address;
-            tokio::spawn(misbehave(router, address, misdeed, self.history().clone()));
+            tokio::spawn(misbehave(router, address, misbehaviour, self.history().clone()));
             let pause = rand::rng().random_range(10..150);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
@@ -190,7 +191,7 @@
     pub fn crowd(&self, router: RouterIndex) {
         for _ in 0..CROWD {
             let address = self.routers[router].address;
-            tokio::spawn(misbehave(router, address, Misdeed::Silent, self.history().clone()));
+            tokio::spawn(misbehave(router, address, ClientMisbehaviour::Silent, self.history().clone()));
         }
     }
 }
@@ -291,7 +292,7 @@
         tokio::time::sleep(LATENESS_STEP).await;
         let by = clock::now().saturating_sub(due);
         if by > LATENESS_NOTED {
-            world.history().add(Record::HarnessLate { by });
+            world.history().add(Record::HarnessDelayed { by });
         }
     }
 }
--- a/crates/fault-soak/src/trouble.rs
+++ b/crates/fault-soak/src/trouble.rs
@@ -205,11 +205,11 @@
 /// Plays one trouble from its beginning to its end.
 pub async fn play(world: Arc<World>, trouble: Trouble, length: Duration) {
     let name = trouble.name();
-    world.history().add(Record::TroubleBegun { name: name.clone() });
+    world.history().add(Record::FaultStarted { name: name.clone() });
     begin(&world, &trouble, length).await;
     tokio::time::sleep(length).await;
     end(&world, &trouble).await;
-    world.history().add(Record::TroubleEnded { name });
+    world.history().add(Record::FaultEnded { name });
 }
 
 async fn begin(world: &Arc<World>, trouble: &Trouble, length: Duration) {
--- a/crates/fleet-emulator/src/agent.rs
+++ b/crates/fleet-emulator/src/agent.rs
@@ -19,9 +19,9 @@
 /// An agent that was moved closes its open connections after this.
 const MOVED_CLOSES_AFTER: Duration = Duration::from_millis(1_500);
 /// What was missed on a silent watch counts as told this long after it fell silent.
-pub const SILENCE_EXCUSES: Micros = 6 * SECOND;
+pub const SILENT_WATCH_ALLOWANCE: Micros = 6 * SECOND;
 /// What a new agent has counts as told this long after the router was told of it.
-pub const MOVE_EXCUSES: Micros = 4 * SECOND;
+pub const MOVED_AGENT_ALLOWANCE: Micros = 4 * SECOND;
 
 /// Whether a worker wants new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -37,7 +37,7 @@
 
 /// A worker as the list names it.
 #[derive(Clone, Debug, Serialize)]
-pub struct HostEntry {
+pub struct EndpointEntry {
     /// Its name.
     pub host: String,
     /// Where this router reaches it.
@@ -61,7 +61,7 @@
 pub struct ListMessage {
     seq: u64,
     whole: bool,
-    hosts: Vec<HostEntry>,
+    hosts: Vec<EndpointEntry>,
 }
 
 /// What an agent knows.
@@ -69,11 +69,11 @@
 struct Known {
     version: u64,
     /// Each worker's entry and the version that brought it.
-    entries: BTreeMap<WorkerIndex, (u64, HostEntry)>,
+    entries: BTreeMap<WorkerIndex, (u64, EndpointEntry)>,
 }
 
 impl Known {
-    fn learn(&mut self, worker: WorkerIndex, entry: HostEntry) {
+    fn learn(&mut self, worker: WorkerIndex, entry: EndpointEntry) {
         self.version += 1;
         self.entries.insert(worker, (self.version, entry));
     }
@@ -120,7 +120,7 @@
     history: History,
     known: Mutex<Known>,
     /// What discovery has for an agent that is down.
-    missed: Mutex<Vec<(WorkerIndex, HostEntry)>>,
+    missed: Mutex<Vec<(WorkerIndex, EndpointEntry)>>,
     condition: watch::Sender<Condition>,
     connections: Mutex<u64>,
 }
@@ -180,15 +180,15 @@
     }
 
     /// Tells the agent of a worker, at once or as soon as discovery is back.
-    pub fn learn(&self, worker: WorkerIndex, entry: HostEntry) {
+    pub fn learn(&self, worker: WorkerIndex, entry: EndpointEntry) {
         if self.condition.borrow().is_down {
             lock(&self.missed).push((worker, entry));
             return;
         }
         let (router, is_ready) = (self.router, entry.health == Health::Ready);
         lock(&self.known).learn(worker, entry);
-        let withdrawn = Record::Withdrawn { router, worker };
-        self.history.add(if is_ready { Record::InService { router, worker } } else { withdrawn });
+        let withdrawn = Record::WorkerWithdrawn { router, worker };
+        self.history.add(if is_ready { Record::WorkerInService { router, worker } } else { withdrawn });
         self.condition.send_modify(|condition| condition.version += 1);
     }
 
@@ -205,7 +205,8 @@
     /// Lets the open watches fall silent.
     pub fn silence_watches(&self) {
         let opened = *lock(&self.connections);
-        self.history.add(Record::AgentDisturbed { router: self.router, excused: SILENCE_EXCUSES });
+        self.history
+            .add(Record::DiscoveryDisturbed { router: self.router, allowance: SILENT_WATCH_ALLOWANCE });
         self.condition.send_modify(|condition| condition.silent_before = opened);
     }
 
--- a/crates/fleet-emulator/src/client.rs
+++ b/crates/fleet-emulator/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: they send requests as well-behaved, impatient and slow clients do, and note what becomes of them.
 
 use crate::clock::{self, MILLISECOND, Micros, SECOND};
-use crate::history::{ConnectionEnd, ConnectionNumber, Effect, History, Record, RequestName, RouterIndex};
+use crate::history::{ConnectionEnd, ConnectionNumber, History, Idempotency, Record, RequestId, RouterIndex};
 use crate::http::{Head, Reader};
 use rand::Rng;
 use std::collections::HashSet;
@@ -28,11 +28,11 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id.
-    pub name: RequestName,
+    pub name: RequestId,
     /// Its class.
     pub class: &'static str,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The conversation that it belongs to.
     pub session: String,
     /// The opening that it shares with other conversations, and how long that is.
@@ -42,14 +42,14 @@
     /// The most tokens of its answer.
     pub max_tokens: u64,
     /// How long its client waits for the first token.
-    pub patience: Micros,
+    pub first_token_timeout: Micros,
 }
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manners {
+pub struct ClientBehaviour {
     /// It closes so long after it sent the request, if it still waits or reads then.
-    pub leaves_after: Option<Micros>,
+    pub disconnects_after: Option<Micros>,
     /// It writes the request bit by bit.
     pub writes_slowly: bool,
 }
@@ -85,7 +85,7 @@
 /// Why an exchange ended before its answer did.
 enum Broken {
     /// Without a byte of the answer.
-    Unanswered(ConnectionEnd),
+    ConnectionEndedUnanswered(ConnectionEnd),
     /// Nothing came in time.
     Silence,
     /// In the middle of the answer.
@@ -113,13 +113,13 @@
     }
 
     /// Sends a request on a kept connection or a new one, and follows it to its end.
-    pub async fn send(&self, request: &Request, manners: Manners) -> Outcome {
+    pub async fn send(&self, request: &Request, behaviour: ClientBehaviour) -> Outcome {
         let kept = self.idle().pop();
         let is_kept = kept.is_some();
-        match self.try_on(kept, request, manners, false).await {
+        match self.try_on(kept, request, behaviour, false).await {
             // The close of a kept connection may cross a request: that one is sent once more.
-            Err(Broken::Unanswered(_)) if is_kept => {
-                self.try_on(None, request, manners, true).await.unwrap_or(Outcome::Failed)
+            Err(Broken::ConnectionEndedUnanswered(_)) if is_kept => {
+                self.try_on(None, request, behaviour, true).await.unwrap_or(Outcome::Failed)
             }
             result => result.unwrap_or(Outcome::Failed),
         }
@@ -129,23 +129,26 @@
         &self,
         kept: Option<Connection>,
         request: &Request,
-        manners: Manners,
+        behaviour: ClientBehaviour,
         is_resent: bool,
     ) -> Result<Outcome, Broken> {
-        let carried_before = kept.as_ref().map_or(0, |connection| connection.carried);
-        self.history.add(Record::RequestBegun {
+        let prior_requests = kept.as_ref().map_or(0, |connection| connection.carried);
+        self.history.add(Record::RequestStarted {
             request: request.name.clone(),
             router: self.router,
-            effect: request.effect,
-            carried_before,
+            idempotency: request.idempotency,
+            prior_requests,
             is_resent,
         });
-        let result = self.exchange(kept, request, manners).await;
+        let result = self.exchange(kept, request, behaviour).await;
         match &result {
-            Err(Broken::Unanswered(end)) => {
-                self.history.add(Record::Unanswered { request: request.name.clone(), end: *end });
+            Err(Broken::ConnectionEndedUnanswered(end)) => {
+                self.history
+                    .add(Record::ConnectionEndedUnanswered { request: request.name.clone(), end: *end });
+            }
+            Err(Broken::Silence) => {
+                self.history.add(Record::ResponseTimedOut { request: request.name.clone() })
             }
-            Err(Broken::Silence) => self.history.add(Record::NothingHeard { request: request.name.clone() }),
             Ok(_) | Err(Broken::InAnswer) => {}
         }
         result
@@ -155,24 +158,27 @@
         &self,
         kept: Option<Connection>,
         request: &Request,
-        manners: Manners,
+        behaviour: ClientBehaviour,
     ) -> Result<Outcome, Broken> {
         let mut connection = match kept {
             Some(connection) => connection,
-            None => self.connect().await.map_err(|_| Broken::Unanswered(ConnectionEnd::NotOpened))?,
+            None => self
+                .connect()
+                .await
+                .map_err(|_| Broken::ConnectionEndedUnanswered(ConnectionEnd::NotOpened))?,
         };
-        let written = write_request(&mut connection.writer, request, manners.writes_slowly).await;
+        let written = write_request(&mut connection.writer, request, behaviour.writes_slowly).await;
         let sent = clock::now();
         if written.is_ok() {
-            let (name, patience) = (request.name.clone(), request.patience);
-            self.history.add_at(sent, Record::RequestSent { request: name, patience });
+            let (name, first_token_timeout) = (request.name.clone(), request.first_token_timeout);
+            self.history.add_at(sent, Record::RequestSent { request: name, first_token_timeout });
         }
-        let leave_at = manners.leaves_after.map(|after| sent + after);
+        let leave_at = behaviour.disconnects_after.map(|after| sent + after);
         let answering = self.answer(&mut connection.reader, request, sent);
         let answered = tokio::select! {
             biased;
             () = leaving(leave_at) => {
-                self.history.add(Record::ClientLeft { request: request.name.clone() });
+                self.history.add(Record::ClientDisconnected { request: request.name.clone() });
                 return Ok(Outcome::Failed);
             }
             answered = answering => answered,
@@ -199,22 +205,24 @@
         request: &Request,
         sent: Micros,
     ) -> Result<(Outcome, bool), Broken> {
-        let give_up = sent + request.patience + ANSWER_GIVEN_UP_AFTER;
+        let give_up = sent + request.first_token_timeout + ANSWER_GIVEN_UP_AFTER;
         let head = tokio::select! {
             head = reader.response() => head,
             () = clock::sleep_until(give_up) => return Err(Broken::Silence),
         };
         let head = match head {
             Ok(Some(head)) => head,
-            Ok(None) if reader.is_empty() => return Err(Broken::Unanswered(ConnectionEnd::Closed)),
+            Ok(None) if reader.is_empty() => {
+                return Err(Broken::ConnectionEndedUnanswered(ConnectionEnd::Closed));
+            }
             Err(error) if reader.is_empty() && error.kind() != ErrorKind::InvalidData => {
-                return Err(Broken::Unanswered(ConnectionEnd::Reset));
+                return Err(Broken::ConnectionEndedUnanswered(ConnectionEnd::Reset));
             }
             Ok(None) | Err(_) => return Err(Broken::InAnswer),
         };
         let retry_after = head.header("retry-after").and_then(|text| text.parse::<f64>().ok());
         let (name, has_retry_after) = (request.name.clone(), retry_after.is_some());
-        self.history.add(Record::AnswerBegun { request: name, status: head.status, has_retry_after });
+        self.history.add(Record::ResponseStarted { request: name, status: head.status, has_retry_after });
         let may_keep = !head.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
         match head.status {
             200 => self.stream(reader, request, &head).await.map(|outcome| (outcome, may_keep)),
@@ -236,7 +244,7 @@
         head: &Head,
     ) -> Result<Outcome, Broken> {
         let mut events = Events::new(request.name.clone());
-        let is_whole = loop {
+        let is_complete = loop {
             if !head.is_chunked() {
                 break false;
             }
@@ -251,16 +259,16 @@
             let had_any = events.count > 0;
             events.take(&chunk);
             if !had_any && events.count > 0 {
-                self.history.add(Record::FirstEvent { request: request.name.clone() });
+                self.history.add(Record::FirstEventReceived { request: request.name.clone() });
             }
         };
-        self.note_end(request, is_whole, events.is_intact, events.longest_delay);
-        if is_whole { Ok(Outcome::Served) } else { Err(Broken::InAnswer) }
+        self.note_end(request, is_complete, events.is_intact, events.longest_delay);
+        if is_complete { Ok(Outcome::Served) } else { Err(Broken::InAnswer) }
     }
 
-    fn note_end(&self, request: &Request, is_whole: bool, is_intact: bool, longest_delay: Micros) {
+    fn note_end(&self, request: &Request, is_complete: bool, is_intact: bool, longest_delay: Micros) {
         let request = request.name.clone();
-        self.history.add(Record::AnswerEnded { request, is_whole, is_intact, longest_delay });
+        self.history.add(Record::ResponseEnded { request, is_complete, is_intact, longest_delay });
     }
 }
 
@@ -273,7 +281,7 @@
 
 /// The events of one answer, as its client reads them.
 struct Events {
-    request: RequestName,
+    request: RequestId,
     text: Vec<u8>,
     count: u64,
     connections: HashSet<ConnectionNumber>,
@@ -283,7 +291,7 @@
 }
 
 impl Events {
-    fn new(request: RequestName) -> Self {
+    fn new(request: RequestId) -> Self {
         let (text, connections) = (Vec::new(), HashSet::new());
         Events { request, text, count: 0, connections, is_done: false, is_intact: true, longest_delay: 0 }
     }
@@ -323,7 +331,7 @@
 
 /// A request as bytes.
 pub fn encode(request: &Request) -> Vec<u8> {
-    let Request { name, class, session, prompt_tokens, max_tokens, patience, .. } = request;
+    let Request { name, class, session, prompt_tokens, max_tokens, first_token_timeout, .. } = request;
     let prefix = request
         .prefix
         .as_ref()
@@ -333,7 +341,7 @@
     );
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: api.internal\r\nx-request-id: {name}\r\nx-class: {class}\r\n\
-         x-key: {session}\r\nx-deadline: {patience}u\r\n\
+         x-key: {session}\r\nx-deadline: {first_token_timeout}u\r\n\
          x-extras: {prefix}prompt_len={prompt_tokens},max_out={max_tokens}\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/fleet-emulator/src/fleet.rs
+++ b/crates/fleet-emulator/src/fleet.rs
@@ -1,10 +1,10 @@
 //! A fleet of workers, the links from each router to each of them, and the agents that list them.
 
-use crate::agent::{Agent, Health, HostEntry};
+use crate::agent::{Agent, EndpointEntry, Health};
 use crate::clock;
 use crate::history::{History, RouterIndex, WorkerIndex};
 use crate::link::{Link, LinkState};
-use crate::worker::{Caches, Worker, WorkerSettings};
+use crate::worker::{CacheReservations, Worker, WorkerSettings};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -55,7 +55,7 @@
     pub network: Network,
     /// What was seen.
     pub history: History,
-    caches: Caches,
+    caches: CacheReservations,
     members: Mutex<Vec<Member>>,
     /// By router, then by worker.
     links: Mutex<Vec<Vec<Arc<Link>>>>,
@@ -76,7 +76,7 @@
         Ok(Arc::new(Fleet {
             network,
             history,
-            caches: Caches::default(),
+            caches: CacheReservations::default(),
             members: Mutex::default(),
             links: Mutex::new(vec![Vec::new(); routers]),
             agents,
@@ -168,11 +168,11 @@
         self.announce(worker, delay);
     }
 
-    fn entry(&self, router: RouterIndex, worker: WorkerIndex) -> HostEntry {
+    fn entry(&self, router: RouterIndex, worker: WorkerIndex) -> EndpointEntry {
         let members = self.members();
         let Member { worker: member, health, born_ms } = &members[worker];
         let settings = member.settings;
-        HostEntry {
+        EndpointEntry {
             host: format!("worker-{worker}"),
             dial: self.network.link(router, worker),
             site: format!("zone-{}", settings.zone),
@@ -185,8 +185,9 @@
     }
 
     fn announce(self: &Arc<Self>, worker: WorkerIndex, delay: Duration) {
-        let entries: Vec<HostEntry> = (0..self.routers()).map(|router| self.entry(router, worker)).collect();
-        let tell = move |fleet: &Fleet, entries: Vec<HostEntry>| {
+        let entries: Vec<EndpointEntry> =
+            (0..self.routers()).map(|router| self.entry(router, worker)).collect();
+        let tell = move |fleet: &Fleet, entries: Vec<EndpointEntry>| {
             for (agent, entry) in fleet.agents.iter().zip(entries) {
                 agent.learn(worker, entry);
             }
--- a/crates/fleet-emulator/src/history.rs
+++ b/crates/fleet-emulator/src/history.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// A request's id on the wire.
-pub type RequestName = Arc<str>;
+pub type RequestId = Arc<str>;
 /// A router's place in the fleet, from 0.
 pub type RouterIndex = usize;
 /// A worker's place in the fleet, from 0.
@@ -15,18 +15,18 @@
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated at will.
-    Safe,
+    Idempotent,
     /// May be repeated for a time, at workers of the group only.
-    Keyed(Group),
+    Keyed(DeduplicationScope),
     /// Must not run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The workers that recognize each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All workers.
     All,
     /// The workers of one zone.
@@ -46,7 +46,7 @@
 
 /// What a router asked of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Call {
+pub enum CallKind {
     /// To serve a request.
     Attempt,
     /// To release what is held for it.
@@ -70,69 +70,69 @@
 #[derive(Clone, Debug, Serialize)]
 pub enum Record {
     /// A client wrote the first byte of a request.
-    RequestBegun {
+    RequestStarted {
         /// Its id.
-        request: RequestName,
+        request: RequestId,
         /// The router it was sent to.
         router: RouterIndex,
         /// What a repeat does.
-        effect: Effect,
+        idempotency: Idempotency,
         /// Requests that its connection had carried before.
-        carried_before: u32,
+        prior_requests: u32,
         /// Whether it is sent again, its first connection having ended without an answer.
         is_resent: bool,
     },
     /// A client wrote the last byte of a request; its time runs from here.
     RequestSent {
         /// Its id.
-        request: RequestName,
+        request: RequestId,
         /// How long the client will wait for the first token.
-        patience: Micros,
+        first_token_timeout: Micros,
     },
     /// A client closed its connection before the end of its answer.
-    ClientLeft {
+    ClientDisconnected {
         /// The request.
-        request: RequestName,
+        request: RequestId,
     },
     /// The head of an answer has come.
-    AnswerBegun {
+    ResponseStarted {
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// Its status.
         status: u16,
         /// Whether it tells when to come back.
         has_retry_after: bool,
     },
     /// The first event of an answer has come.
-    FirstEvent {
+    FirstEventReceived {
         /// The request.
-        request: RequestName,
+        request: RequestId,
     },
     /// An answer has ended.
-    AnswerEnded {
+    ResponseEnded {
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// Whether it came to its proper end.
-        is_whole: bool,
+        is_complete: bool,
         /// Whether each part is what a worker sent for this request, in order.
         is_intact: bool,
         /// The longest time that an event took from its worker to the client.
         longest_delay: Micros,
     },
     /// A connection ended before any byte of the answer.
-    Unanswered {
+    ConnectionEndedUnanswered {
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// How.
         end: ConnectionEnd,
     },
     /// Nothing came until long after the request's time was up.
-    NothingHeard {
+    ResponseTimedOut {
         /// The request.
-        request: RequestName,
+        request: RequestId,
     },
     /// A misbehaving client connected.
-    BadClientBegun {
+    MisbehavingClientConnected {
         /// The router.
         router: RouterIndex,
         /// What it does wrong.
@@ -141,18 +141,18 @@
         number: u64,
     },
     /// A misbehaving client got its error or close; `None`: a success, which it must not get.
-    BadClientEnded {
+    MisbehavingClientEnded {
         /// Its number.
         number: u64,
         /// Whether it got an error or a close.
-        got_its_due: bool,
+        was_rejected: bool,
     },
     /// A router wrote the first byte of a call to a worker.
-    CallBegun {
+    CallStarted {
         /// What it asks.
-        call: Call,
+        call: CallKind,
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// The router.
         router: RouterIndex,
         /// The worker.
@@ -160,38 +160,38 @@
         /// The connection.
         connection: ConnectionNumber,
         /// The time that the router told the worker, from now on.
-        told_time: Option<Micros>,
+        propagated_timeout: Option<Micros>,
     },
     /// A router closed or reset a connection to a worker.
-    ConnectionEnded {
+    ConnectionClosedByRouter {
         /// The connection.
         connection: ConnectionNumber,
     },
     /// The worker or the network ended a connection.
-    ConnectionBroken {
+    ConnectionClosedByWorker {
         /// The connection.
         connection: ConnectionNumber,
     },
     /// A connection's link fell silent: what its worker says does not reach the router for now.
-    ConnectionSilenced {
+    ConnectionStalled {
         /// The connection.
         connection: ConnectionNumber,
     },
     /// The last byte of a call has reached a running worker.
-    CallArrived {
+    CallReceived {
         /// What it asks.
-        call: Call,
+        call: CallKind,
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// The worker.
         worker: WorkerIndex,
         /// The connection.
         connection: ConnectionNumber,
     },
     /// A worker's answer, or its stream's end, has been handed to the network.
-    CallAnswered {
+    CallCompleted {
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// The worker.
         worker: WorkerIndex,
         /// The connection.
@@ -199,28 +199,28 @@
         /// The status; 0 where the connection was broken instead.
         status: u16,
         /// Whether the answer proves that the request has not run.
-        never_ran: bool,
+        had_no_effect: bool,
         /// Whether it came to its proper end.
-        is_whole: bool,
+        is_complete: bool,
     },
     /// A worker has written the first event of a stream.
-    StreamBegun {
+    StreamStarted {
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// The worker.
         worker: WorkerIndex,
     },
     /// A prefill worker holds the KV cache of a request.
-    CacheHeld {
+    CacheReserved {
         /// The request.
-        request: RequestName,
+        request: RequestId,
         /// The worker.
         worker: WorkerIndex,
     },
     /// What was held for a request is gone: taken over, released, or lost with its worker.
-    CacheGone {
+    CacheReservationEnded {
         /// The request.
-        request: RequestName,
+        request: RequestId,
     },
     /// A worker started: cold until it has warmed up.
     WorkerStarted {
@@ -236,30 +236,30 @@
         is_cold: bool,
     },
     /// A worker's process died.
-    WorkerDied {
+    WorkerCrashed {
         /// The worker.
         worker: WorkerIndex,
     },
     /// A router's agent has learned that a worker wants nothing new.
-    Withdrawn {
+    WorkerWithdrawn {
         /// The router.
         router: RouterIndex,
         /// The worker.
         worker: WorkerIndex,
     },
     /// A router's agent has learned that a worker is in service.
-    InService {
+    WorkerInService {
         /// The router.
         router: RouterIndex,
         /// The worker.
         worker: WorkerIndex,
     },
     /// The router's watches fell silent, its agent was moved, or its agent went down: what it is told may be late.
-    AgentDisturbed {
+    DiscoveryDisturbed {
         /// The router.
         router: RouterIndex,
         /// How much later than usual it may hear of changes, from now on.
-        excused: Micros,
+        allowance: Micros,
     },
     /// A router's process started.
     RouterStarted {
@@ -283,7 +283,7 @@
         /// The router.
         router: RouterIndex,
         /// Whether it was to end, and ended in order.
-        is_orderly: bool,
+        was_expected: bool,
         /// How it ended.
         how: String,
     },
@@ -296,25 +296,25 @@
         /// Open descriptors.
         descriptors: usize,
     },
-    /// A router's log told of a broken promise or a panic.
-    RouterComplained {
+    /// A router's log told of a broken invariant or a panic.
+    RouterErrorLogged {
         /// The router.
         router: RouterIndex,
         /// The line.
         line: String,
     },
     /// A trouble began.
-    TroubleBegun {
+    FaultStarted {
         /// What it is.
         name: String,
     },
     /// A trouble ended.
-    TroubleEnded {
+    FaultEnded {
         /// What it was.
         name: String,
     },
     /// The stand-ins themselves were held up for so long: what they saw then may be late.
-    HarnessLate {
+    HarnessDelayed {
         /// How late.
         by: Micros,
     },
@@ -322,22 +322,22 @@
 
 impl Record {
     /// The request that it is about, if it is about one.
-    pub fn request(&self) -> Option<&RequestName> {
+    pub fn request(&self) -> Option<&RequestId> {
         match self {
-            Record::RequestBegun { request, .. }
+            Record::RequestStarted { request, .. }
             | Record::RequestSent { request, .. }
-            | Record::ClientLeft { request }
-            | Record::AnswerBegun { request, .. }
-            | Record::FirstEvent { request }
-            | Record::AnswerEnded { request, .. }
-            | Record::Unanswered { request, .. }
-            | Record::NothingHeard { request }
-            | Record::CallBegun { request, .. }
-            | Record::CallArrived { request, .. }
-            | Record::CallAnswered { request, .. }
-            | Record::StreamBegun { request, .. }
-            | Record::CacheHeld { request, .. }
-            | Record::CacheGone { request } => Some(request),
+            | Record::ClientDisconnected { request }
+            | Record::ResponseStarted { request, .. }
+            | Record::FirstEventReceived { request }
+            | Record::ResponseEnded { request, .. }
+            | Record::ConnectionEndedUnanswered { request, .. }
+            | Record::ResponseTimedOut { request }
+            | Record::CallStarted { request, .. }
+            | Record::CallReceived { request, .. }
+            | Record::CallCompleted { request, .. }
+            | Record::StreamStarted { request, .. }
+            | Record::CacheReserved { request, .. }
+            | Record::CacheReservationEnded { request } => Some(request),
             _ => None,
         }
     }
--- a/crates/fleet-emulator/src/lib.rs
+++ b/crates/fleet-emulator/src/lib.rs
@@ -6,11 +6,11 @@
 //! [`history::History`], from which an oracle can judge whether the router kept its promises.
 
 pub mod agent;
-pub mod bad_client;
 pub mod client;
 pub mod clock;
 pub mod fleet;
 pub mod history;
 pub mod http;
 pub mod link;
+pub mod misbehaving_client;
 pub mod worker;
--- a/crates/fleet-emulator/src/link.rs
+++ b/crates/fleet-emulator/src/link.rs
@@ -163,7 +163,7 @@
         }
         drop(stream);
         if !carrier.router_closed {
-            self.history.add(Record::ConnectionBroken { connection });
+            self.history.add(Record::ConnectionClosedByWorker { connection });
         }
         // What the worker does with a connection that has ended is its own affair.
         drop(serving);
@@ -235,7 +235,7 @@
             let state = *self.state.borrow_and_update();
             let is_up = state.reach != Reach::Silent;
             if !is_up && !std::mem::replace(&mut self.is_silenced, true) {
-                self.link.history.add(Record::ConnectionSilenced { connection: self.connection });
+                self.link.history.add(Record::ConnectionStalled { connection: self.connection });
             }
             if is_up && !self.held.is_empty() && to_worker.write_all(&self.held).await.is_ok() {
                 self.held.clear();
@@ -256,7 +256,7 @@
                         ended => {
                             self.router_closed = true;
                             let connection = self.connection;
-                            self.link.history.add(Record::ConnectionEnded { connection });
+                            self.link.history.add(Record::ConnectionClosedByRouter { connection });
                             if ended.is_err() {
                                 // Reset: what is still on its way is lost with it.
                                 return End::Reset;
@@ -298,10 +298,11 @@
                 let after = rand::rng().random_range(0..RESET_WITHIN);
                 self.reset_at = Some(Instant::now() + micros(after));
             }
-            let told_time = begun.head.header("x-deadline").and_then(parse_duration);
+            let propagated_timeout = begun.head.header("x-deadline").and_then(parse_duration);
             let (router, worker) = (self.link.router, self.link.worker.settings.index);
             let connection = self.connection;
-            let record = Record::CallBegun { call, request, router, worker, connection, told_time };
+            let record =
+                Record::CallStarted { call, request, router, worker, connection, propagated_timeout };
             self.link.history.add_at(begun.at, record);
         }
     }
--- a/crates/fleet-emulator/src/bad_client.rs
+++ b/crates/fleet-emulator/src/misbehaving_client.rs
@@ -17,7 +17,7 @@
 
 /// What a client does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Misdeed {
+pub enum ClientMisbehaviour {
     /// It sends what is no HTTP.
     Garbage,
     /// Its head does not end.
@@ -42,36 +42,36 @@
     Silent,
 }
 
-impl Misdeed {
+impl ClientMisbehaviour {
     /// All of them.
-    pub const ALL: [Misdeed; 11] = [
-        Misdeed::Garbage,
-        Misdeed::EndlessHead,
-        Misdeed::TwoLengths,
-        Misdeed::BadLength,
-        Misdeed::HugeLength,
-        Misdeed::UnknownClass,
-        Misdeed::BadDeadline,
-        Misdeed::NoRequestId,
-        Misdeed::HalfHead,
-        Misdeed::HalfBody,
-        Misdeed::Silent,
+    pub const ALL: [ClientMisbehaviour; 11] = [
+        ClientMisbehaviour::Garbage,
+        ClientMisbehaviour::EndlessHead,
+        ClientMisbehaviour::TwoLengths,
+        ClientMisbehaviour::BadLength,
+        ClientMisbehaviour::HugeLength,
+        ClientMisbehaviour::UnknownClass,
+        ClientMisbehaviour::BadDeadline,
+        ClientMisbehaviour::NoRequestId,
+        ClientMisbehaviour::HalfHead,
+        ClientMisbehaviour::HalfBody,
+        ClientMisbehaviour::Silent,
     ];
 
     /// Its name, in records.
     pub fn name(self) -> &'static str {
         match self {
-            Misdeed::Garbage => "garbage",
-            Misdeed::EndlessHead => "endless head",
-            Misdeed::TwoLengths => "two lengths",
-            Misdeed::BadLength => "bad length",
-            Misdeed::HugeLength => "huge length",
-            Misdeed::UnknownClass => "unknown class",
-            Misdeed::BadDeadline => "bad deadline",
-            Misdeed::NoRequestId => "no request id",
-            Misdeed::HalfHead => "half a head",
-            Misdeed::HalfBody => "half a body",
-            Misdeed::Silent => "silent",
+            ClientMisbehaviour::Garbage => "garbage",
+            ClientMisbehaviour::EndlessHead => "endless head",
+            ClientMisbehaviour::TwoLengths => "two lengths",
+            ClientMisbehaviour::BadLength => "bad length",
+            ClientMisbehaviour::HugeLength => "huge length",
+            ClientMisbehaviour::UnknownClass => "unknown class",
+            ClientMisbehaviour::BadDeadline => "bad deadline",
+            ClientMisbehaviour::NoRequestId => "no request id",
+            ClientMisbehaviour::HalfHead => "half a head",
+            ClientMisbehaviour::HalfBody => "half a body",
+            ClientMisbehaviour::Silent => "silent",
         }
     }
 
@@ -86,45 +86,54 @@
         };
         let id = format!("x-request-id: {id}\r\n");
         match self {
-            Misdeed::Garbage => b"\x16\x03\x01 this is no http\r\n\r\n".to_vec(),
-            Misdeed::EndlessHead => {
+            ClientMisbehaviour::Garbage => b"\x16\x03\x01 this is no http\r\n\r\n".to_vec(),
+            ClientMisbehaviour::EndlessHead => {
                 let mut bytes = b"POST /v1/chat/completions HTTP/1.1\r\nx-filler: ".to_vec();
                 bytes.resize(ENDLESS_BYTES, b'x');
                 bytes
             }
-            Misdeed::TwoLengths => request(
+            ClientMisbehaviour::TwoLengths => request(
                 "safe",
                 "3000m",
                 &id,
                 "content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
             ),
-            Misdeed::BadLength => request("safe", "3000m", &id, "content-length: -7\r\n\r\n{}"),
-            Misdeed::HugeLength => request("safe", "3000m", &id, "content-length: 60000000\r\n\r\n{}"),
-            Misdeed::UnknownClass => request("nobody", "3000m", &id, "content-length: 2\r\n\r\n{}"),
-            Misdeed::BadDeadline => request("safe", "soon", &id, "content-length: 2\r\n\r\n{}"),
-            Misdeed::NoRequestId => request("safe", "3000m", "", "content-length: 2\r\n\r\n{}"),
-            Misdeed::HalfHead => request("safe", "3000m", &id, ""),
-            Misdeed::HalfBody => request("safe", "3000m", &id, "content-length: 100\r\n\r\n{}"),
-            Misdeed::Silent => Vec::new(),
+            ClientMisbehaviour::BadLength => request("safe", "3000m", &id, "content-length: -7\r\n\r\n{}"),
+            ClientMisbehaviour::HugeLength => {
+                request("safe", "3000m", &id, "content-length: 60000000\r\n\r\n{}")
+            }
+            ClientMisbehaviour::UnknownClass => {
+                request("nobody", "3000m", &id, "content-length: 2\r\n\r\n{}")
+            }
+            ClientMisbehaviour::BadDeadline => request("safe", "soon", &id, "content-length: 2\r\n\r\n{}"),
+            ClientMisbehaviour::NoRequestId => request("safe", "3000m", "", "content-length: 2\r\n\r\n{}"),
+            ClientMisbehaviour::HalfHead => request("safe", "3000m", &id, ""),
+            ClientMisbehaviour::HalfBody => request("safe", "3000m", &id, "content-length: 100\r\n\r\n{}"),
+            ClientMisbehaviour::Silent => Vec::new(),
         }
     }
 }
 
 /// Misbehaves on a connection of its own and notes what it got.
-pub async fn misbehave(router: RouterIndex, address: SocketAddr, misdeed: Misdeed, history: History) {
+pub async fn misbehave(
+    router: RouterIndex,
+    address: SocketAddr,
+    misbehaviour: ClientMisbehaviour,
+    history: History,
+) {
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let Ok(stream) = TcpStream::connect(address).await else { return };
-    history.add(Record::BadClientBegun { router, kind: misdeed.name(), number });
+    history.add(Record::MisbehavingClientConnected { router, kind: misbehaviour.name(), number });
     let (input, mut output) = stream.into_split();
     let mut reader = Reader::new(input);
     let exchange = async {
         // A router that has answered may close while the rest is still being sent.
-        let _ = output.write_all(&misdeed.bytes(number)).await;
+        let _ = output.write_all(&misbehaviour.bytes(number)).await;
         match reader.response().await {
             Ok(Some(head)) => head.status >= 400,
             Ok(None) | Err(_) => true,
         }
     };
-    let got_its_due = tokio::time::timeout(GIVEN_UP_AFTER, exchange).await.unwrap_or(false);
-    history.add(Record::BadClientEnded { number, got_its_due });
+    let was_rejected = tokio::time::timeout(GIVEN_UP_AFTER, exchange).await.unwrap_or(false);
+    history.add(Record::MisbehavingClientEnded { number, was_rejected });
 }
--- a/crates/fleet-emulator/src/worker.rs
+++ b/crates/fleet-emulator/src/worker.rs
@@ -1,7 +1,7 @@
 //! Workers: prefill workers read prompts and hold their KV cache, decode workers take it over and stream answers.
 
 use crate::clock::{self, MILLISECOND, Micros, SECOND};
-use crate::history::{Call, ConnectionNumber, History, Record, RequestName, Role, WorkerIndex};
+use crate::history::{CallKind, ConnectionNumber, History, Record, RequestId, Role, WorkerIndex};
 use crate::http::{Head, Reader, chunk};
 use rand::Rng;
 use serde::Deserialize;
@@ -75,7 +75,7 @@
 
 /// The KV caches that wait at prefill workers, by request.
 #[derive(Clone, Debug, Default)]
-pub struct Caches(Arc<Mutex<HashMap<RequestName, Cache>>>);
+pub struct CacheReservations(Arc<Mutex<HashMap<RequestId, Cache>>>);
 
 #[derive(Debug, Default)]
 struct Cache {
@@ -85,35 +85,35 @@
     claims: usize,
 }
 
-impl Caches {
-    fn all(&self) -> MutexGuard<'_, HashMap<RequestName, Cache>> {
+impl CacheReservations {
+    fn all(&self) -> MutexGuard<'_, HashMap<RequestId, Cache>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn hold(&self, request: &RequestName, worker: WorkerIndex) {
+    fn hold(&self, request: &RequestId, worker: WorkerIndex) {
         self.all().entry(request.clone()).or_default().holder = Some(worker);
     }
 
     /// Takes a cache over; whether there was one.
-    fn take(&self, request: &RequestName) -> bool {
+    fn take(&self, request: &RequestId) -> bool {
         self.all().get_mut(request).and_then(|cache| cache.holder.take()).is_some()
     }
 
     /// Releases a cache, unless an attempt waits for it; whether there was one.
-    fn release(&self, request: &RequestName) -> bool {
+    fn release(&self, request: &RequestId) -> bool {
         let mut all = self.all();
         let unclaimed = all.get_mut(request).filter(|cache| cache.claims == 0);
         unclaimed.and_then(|cache| cache.holder.take()).is_some()
     }
 
     /// Claims a cache for an attempt that has arrived, for as long as the claim is kept.
-    fn claim(&self, request: &RequestName) -> Claim {
+    fn claim(&self, request: &RequestId) -> Claim {
         self.all().entry(request.clone()).or_default().claims += 1;
         Claim { caches: self.clone(), request: request.clone() }
     }
 
     /// Loses all that a worker holds; for whom that was.
-    fn lose(&self, worker: WorkerIndex) -> Vec<RequestName> {
+    fn lose(&self, worker: WorkerIndex) -> Vec<RequestId> {
         let mut lost = Vec::new();
         for (request, cache) in self.all().iter_mut() {
             if cache.holder.take_if(|holder| *holder == worker).is_some() {
@@ -126,8 +126,8 @@
 
 /// An attempt's claim to a cache; a release passes it by meanwhile.
 struct Claim {
-    caches: Caches,
-    request: RequestName,
+    caches: CacheReservations,
+    request: RequestId,
 }
 
 impl Drop for Claim {
@@ -148,7 +148,7 @@
     /// What it is.
     pub settings: WorkerSettings,
     history: History,
-    caches: Caches,
+    caches: CacheReservations,
     misbehaviour: Mutex<Misbehaviour>,
     is_draining: AtomicBool,
     slots: Semaphore,
@@ -175,7 +175,7 @@
 struct Exchange<'a, W> {
     worker: &'a Worker,
     output: &'a mut W,
-    request: RequestName,
+    request: RequestId,
     connection: ConnectionNumber,
     misbehaviour: Misbehaviour,
 }
@@ -189,7 +189,7 @@
 
 impl Worker {
     /// A worker whose process runs.
-    pub fn new(settings: WorkerSettings, caches: Caches, history: History) -> Arc<Self> {
+    pub fn new(settings: WorkerSettings, caches: CacheReservations, history: History) -> Arc<Self> {
         Arc::new(Worker {
             settings,
             history,
@@ -221,9 +221,9 @@
     /// Ends its process: connections break, what it held is lost.
     pub fn die(&self) {
         self.life.send_modify(|life| *life += 1);
-        self.history.add(Record::WorkerDied { worker: self.settings.index });
+        self.history.add(Record::WorkerCrashed { worker: self.settings.index });
         for request in self.caches.lose(self.settings.index) {
-            self.history.add(Record::CacheGone { request });
+            self.history.add(Record::CacheReservationEnded { request });
         }
     }
 
@@ -279,13 +279,13 @@
     ) -> io::Result<Next> {
         let (call, request) = classify(head);
         let worker = self.settings.index;
-        self.history.add(Record::CallArrived { call, request: request.clone(), worker, connection });
+        self.history.add(Record::CallReceived { call, request: request.clone(), worker, connection });
         let misbehaviour = *self.misbehaviour.lock().unwrap_or_else(PoisonError::into_inner);
         let mut exchange = Exchange { worker: self, output, request, connection, misbehaviour };
         match call {
-            Call::Release => exchange.release().await,
-            Call::Other => exchange.whole(404, "", "", true).await,
-            Call::Attempt => {
+            CallKind::Release => exchange.release().await,
+            CallKind::Other => exchange.whole(404, "", "", true).await,
+            CallKind::Attempt => {
                 let told = head.header("x-deadline").and_then(parse_duration);
                 let deadline = told.map_or(Micros::MAX, |time| clock::now() + time);
                 let body: Body = serde_json::from_slice(body).unwrap_or_default();
@@ -305,13 +305,13 @@
 }
 
 /// What a call asks, and for which request.
-pub fn classify(head: &Head) -> (Call, RequestName) {
+pub fn classify(head: &Head) -> (CallKind, RequestId) {
     if let Some(request) = head.target.strip_prefix(RELEASE_PATH) {
-        return (Call::Release, request.into());
+        return (CallKind::Release, request.into());
     }
     match head.header("x-request-id") {
-        Some(request) if head.method == "POST" => (Call::Attempt, request.into()),
-        other => (Call::Other, other.unwrap_or_default().into()),
+        Some(request) if head.method == "POST" => (CallKind::Attempt, request.into()),
+        other => (CallKind::Other, other.unwrap_or_default().into()),
     }
 }
 
@@ -338,16 +338,16 @@
 }
 
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
-    fn note_answer(&self, status: u16, never_ran: bool, is_whole: bool) {
+    fn note_answer(&self, status: u16, had_no_effect: bool, is_complete: bool) {
         let (request, worker) = (self.request.clone(), self.worker.settings.index);
         let connection = self.connection;
-        self.worker.history.add(Record::CallAnswered {
+        self.worker.history.add(Record::CallCompleted {
             request,
             worker,
             connection,
             status,
-            never_ran,
-            is_whole,
+            had_no_effect,
+            is_complete,
         });
     }
 
@@ -358,10 +358,16 @@
     }
 
     /// Sends an answer with a body of known length.
-    async fn whole(&mut self, status: u16, headers: &str, body: &str, never_ran: bool) -> io::Result<Next> {
+    async fn whole(
+        &mut self,
+        status: u16,
+        headers: &str,
+        body: &str,
+        had_no_effect: bool,
+    ) -> io::Result<Next> {
         let length = body.len();
         let text = format!("HTTP/1.1 {status} x\r\n{headers}content-length: {length}\r\n\r\n{body}");
-        self.note_answer(status, never_ran, true);
+        self.note_answer(status, had_no_effect, true);
         self.write(text.as_bytes()).await?;
         Ok(Next::Keep)
     }
@@ -377,7 +383,7 @@
 
     async fn release(&mut self) -> io::Result<Next> {
         if self.worker.caches.release(&self.request) {
-            self.worker.history.add(Record::CacheGone { request: self.request.clone() });
+            self.worker.history.add(Record::CacheReservationEnded { request: self.request.clone() });
         }
         self.whole(204, "", "", true).await
     }
@@ -420,7 +426,7 @@
         }
         worker.caches.hold(&self.request, settings.index);
         let (request, index) = (self.request.clone(), settings.index);
-        worker.history.add(Record::CacheHeld { request, worker: index });
+        worker.history.add(Record::CacheReserved { request, worker: index });
         if happens(self.misbehaviour.breaks_during) {
             return self.break_off().await;
         }
@@ -437,7 +443,7 @@
         if !worker.caches.take(&self.request) {
             return self.turn_away(410).await;
         }
-        worker.history.add(Record::CacheGone { request: self.request.clone() });
+        worker.history.add(Record::CacheReservationEnded { request: self.request.clone() });
         tokio::time::sleep(worker.time(worker.settings.base_time, &self.misbehaviour)).await;
         if happens(self.misbehaviour.spoils) {
             return self.spoil().await;
@@ -455,7 +461,7 @@
             begin.extend(chunk(&self.event(event)));
             if event == 0 {
                 let (request, index) = (self.request.clone(), worker.settings.index);
-                worker.history.add(Record::StreamBegun { request, worker: index });
+                worker.history.add(Record::StreamStarted { request, worker: index });
             }
             self.write(&std::mem::take(&mut begin)).await?;
         }
--- a/crates/fleet-emulator/tests/worker.rs
+++ b/crates/fleet-emulator/tests/worker.rs
@@ -2,7 +2,7 @@
 
 use fleet_emulator::history::{History, Record, Role};
 use fleet_emulator::http::Reader;
-use fleet_emulator::worker::{Caches, Worker, WorkerSettings};
+use fleet_emulator::worker::{CacheReservations, Worker, WorkerSettings};
 use std::sync::Arc;
 use tokio::io::{AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 
@@ -32,7 +32,7 @@
 }
 
 fn workers() -> (Arc<Worker>, Arc<Worker>, History) {
-    let (caches, history) = (Caches::default(), History::default());
+    let (caches, history) = (CacheReservations::default(), History::default());
     let worker = |index, role| {
         let settings = WorkerSettings {
             index,
@@ -65,7 +65,9 @@
     let (prefill, decode, history) = workers();
     assert_eq!(Connection::to(&prefill, 1).ask(ATTEMPT).await, 202);
     assert_eq!(Connection::to(&decode, 2).ask(RELEASE).await, 204);
-    assert!(history.entries().iter().any(|entry| matches!(entry.record, Record::CacheGone { .. })));
+    assert!(
+        history.entries().iter().any(|entry| matches!(entry.record, Record::CacheReservationEnded { .. }))
+    );
     assert_eq!(Connection::to(&decode, 3).ask(ATTEMPT).await, 410);
 }
 
