--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -1,36 +1,39 @@
 //! The control block that a test harness shares with the fault shim of one process.
 //!
 //! The block is a small file of 64-bit little-endian words. The harness writes it with [`Control`]; the shim maps it
-//! into the process under test and reads it at each intercepted call, so that faults can be switched while the process
-//! runs. Both sides agree on the place of each word through this crate alone.
+//! into the process under test and reads it at each intercepted system call, so faults can be switched on and off while
+//! the process runs. This crate alone defines the layout of the block, and both sides depend on it.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Environment variable that names the control file of a process.
+/// The environment variable with the path of a process's control file.
 pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
-/// Probabilities are counted in millionths.
-pub const CERTAIN: u64 = 1_000_000;
-/// Words of the block.
+/// The unit of probabilities in the block: the value that stands for a probability of 1.
+pub const PROBABILITY_SCALE: u64 = 1_000_000;
+/// The number of words in the block.
 pub const WORDS: usize = 64;
-/// Bytes of the block.
+/// The size of the block in bytes.
 pub const BLOCK_BYTES: usize = WORDS * WORD_BYTES;
-/// The word that holds how far the wall clock is off, in microseconds, as a signed number.
+/// The word with the offset of the wall clock: a signed number of microseconds.
 pub const WALL_CLOCK_WORD: usize = 0;
 
 const WORD_BYTES: usize = 8;
+/// The word with the probability or period of the first fault. Those of the other faults follow.
 const FIRST_PROBABILITY: usize = 1;
+/// The word with the count of the first fault. Those of the other faults follow.
 const FIRST_COUNT: usize = 32;
 
-/// The bit that marks a period in place of a probability: every so many-th call fails.
-pub const PERIOD_BIT: u64 = 1 << 63;
+/// The flag that marks the word of a fault as a period: one of that many calls fails, at regular intervals. Without the
+/// flag, the word is a probability.
+pub const PERIOD_FLAG: u64 = 1 << 63;
 
-/// A failure that the shim brings about at a system call.
+/// A fault that the shim injects into system calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCallFault {
-    /// `accept` fails with ECONNABORTED; the connection stays in the queue.
+    /// `accept` fails with ECONNABORTED. The connection stays in the accept queue.
     AcceptAborted,
     /// `accept` fails with ENFILE.
     AcceptFileTableFull,
@@ -50,15 +53,15 @@
     WriteInterrupted,
     /// `poll` fails with EINTR.
     PollInterrupted,
-    /// A read of a socket brings a part of what has arrived.
+    /// A read of a socket returns only a part of the bytes that have arrived.
     ShortRead,
-    /// A write to a socket takes a part of what it was given.
+    /// A write to a socket writes only a part of its bytes.
     ShortWrite,
     /// A write to a socket fails with ENOBUFS.
     WriteNoBuffers,
     /// A read of a regular file fails with EIO.
     FileReadFails,
-    /// A read of a regular file brings a part of it.
+    /// A read of a regular file returns only a part of the bytes that are available.
     FileShortRead,
     /// A write to standard error fails with ENOSPC.
     LogFull,
@@ -85,53 +88,54 @@
         SystemCallFault::LogFull,
     ];
 
-    /// The word that holds the fault's probability in millionths.
+    /// The word with the probability or the period of the fault.
     pub const fn probability_word(self) -> usize {
         FIRST_PROBABILITY + self as usize
     }
 
-    /// The word in which the shim counts how often it brought the fault about.
+    /// The word in which the shim counts how often it injected the fault.
     pub const fn count_word(self) -> usize {
         FIRST_COUNT + self as usize
     }
 }
 
-/// The harness's side of a control block.
+/// A control block, as the harness writes it.
 #[derive(Debug)]
 pub struct Control {
     file: File,
 }
 
 impl Control {
-    /// Creates a block without any fault.
+    /// Creates the file of a block in which all faults are off.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// The file can't be created or written.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; BLOCK_BYTES], 0)?;
         Ok(Control { file })
     }
 
-    /// Sets the probability of a fault, from 0 to 1.
+    /// Sets the probability of a fault, from 0 to 1. It replaces a period.
     ///
     /// # Errors
     /// The file can't be written.
     pub fn set_probability(&self, fault: SystemCallFault, probability: f64) -> io::Result<()> {
-        let millionths = (probability.clamp(0.0, 1.0) * CERTAIN as f64) as u64;
+        let millionths = (probability.clamp(0.0, 1.0) * PROBABILITY_SCALE as f64) as u64;
         self.write_word(fault.probability_word(), millionths)
     }
 
-    /// Lets a fault happen at every `period`-th call that it may happen to; at none where that is 0.
+    /// Injects a fault into every `period`-th call that it applies to, or into none if `period` is 0. This replaces a
+    /// probability.
     ///
     /// # Errors
     /// The file can't be written.
     pub fn set_period(&self, fault: SystemCallFault, period: u64) -> io::Result<()> {
-        let word = if period == 0 { 0 } else { period | PERIOD_BIT };
+        let word = if period == 0 { 0 } else { period | PERIOD_FLAG };
         self.write_word(fault.probability_word(), word)
     }
 
-    /// Sets by how many microseconds the wall clock of the process is off.
+    /// Sets the offset of the process's wall clock.
     ///
     /// # Errors
     /// The file can't be written.
@@ -139,7 +143,7 @@
         self.write_word(WALL_CLOCK_WORD, microseconds as u64)
     }
 
-    /// How often the shim has brought a fault about.
+    /// How often the shim has injected a fault.
     ///
     /// # Errors
     /// The file can't be read.
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,7 +1,7 @@
-//! The shim's side of the control block, mapped into the process when it starts.
+//! The control block as the shim reads it. It is mapped into the process when the library is loaded.
 
 use fault_plan::{
-    BLOCK_BYTES, CERTAIN, CONTROL_VARIABLE, PERIOD_BIT, SystemCallFault, WALL_CLOCK_WORD, WORDS,
+    BLOCK_BYTES, CONTROL_VARIABLE, PERIOD_FLAG, PROBABILITY_SCALE, SystemCallFault, WALL_CLOCK_WORD, WORDS,
 };
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
@@ -11,32 +11,34 @@
 type Block = [AtomicU64; WORDS];
 
 static BLOCK: OnceLock<&'static Block> = OnceLock::new();
-/// Calls so far that a fault with a period may have happened to.
+/// For each fault: the number of calls so far that it applied to while it had a period.
 static CALLS: [AtomicU64; SystemCallFault::ALL.len()] =
     [const { AtomicU64::new(0) }; SystemCallFault::ALL.len()];
-static DRAWS: AtomicU64 = AtomicU64::new(0);
+/// The state of the generator from which probabilities are drawn.
+static RANDOM_STATE: AtomicU64 = AtomicU64::new(0);
 
 #[used]
 #[unsafe(link_section = ".init_array")]
 static INITIALIZE: extern "C" fn() = initialize;
 
-/// Maps the control block before `main`. Until then, and where there is none, nothing fails.
+/// Maps the control block before `main`. Until then, and without a block, no fault is injected. The generator starts from
+/// the process id, so that processes draw different faults.
 extern "C" fn initialize() {
     if let Some(block) = map_block() {
         let _ = BLOCK.set(block);
     }
-    DRAWS.store(u64::from(std::process::id()), Ordering::Relaxed);
+    RANDOM_STATE.store(u64::from(std::process::id()), Ordering::Relaxed);
 }
 
 fn map_block() -> Option<&'static Block> {
     let path = CString::new(std::env::var_os(CONTROL_VARIABLE)?.as_bytes()).ok()?;
-    // SAFETY: a valid C string; the descriptor stays this function's own.
+    // SAFETY: the path is a valid C string, and no other code uses the descriptor.
     let fd = unsafe { libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC) };
     if fd < 0 {
         return None;
     }
     let protection = libc::PROT_READ | libc::PROT_WRITE;
-    // SAFETY: a new mapping at a place of the system's choice; it outlives the descriptor and is never unmapped.
+    // SAFETY: this is a new mapping at an address that the kernel chooses. It outlives the descriptor and is never unmapped.
     let address = unsafe {
         let address = libc::mmap(std::ptr::null_mut(), BLOCK_BYTES, protection, libc::MAP_SHARED, fd, 0);
         libc::close(fd);
@@ -45,22 +47,22 @@
     if address == libc::MAP_FAILED {
         return None;
     }
-    // SAFETY: the mapping is page-aligned, as long as the block, and lasts to the end of the process; all its words
-    // are accessed as atomics on this side.
+    // SAFETY: the mapping is page-aligned, has the size of the block and lasts until the end of the process. This side
+    // accesses all of its words as atomics.
     Some(unsafe { &*address.cast::<Block>() })
 }
 
-/// Draws whether a fault happens now, and counts it if so.
-pub fn happens(fault: SystemCallFault) -> bool {
+/// Decides whether a fault is injected into the present call, and counts it if so.
+pub fn is_injected(fault: SystemCallFault) -> bool {
     let Some(block) = BLOCK.get() else { return false };
     let word = block[fault.probability_word()].load(Ordering::Relaxed);
     let is_due = match word {
         0 => false,
-        period if period & PERIOD_BIT != 0 => {
+        period if period & PERIOD_FLAG != 0 => {
             let call = CALLS[fault as usize].fetch_add(1, Ordering::Relaxed) + 1;
-            call.is_multiple_of(period & !PERIOD_BIT)
+            call.is_multiple_of(period & !PERIOD_FLAG)
         }
-        probability => draw() % CERTAIN < probability,
+        probability => next_random() % PROBABILITY_SCALE < probability,
     };
     if !is_due {
         return false;
@@ -69,15 +71,15 @@
     true
 }
 
-/// By how many microseconds the wall clock is off.
+/// The offset of the wall clock in microseconds.
 pub fn wall_clock_offset() -> i64 {
     BLOCK.get().map_or(0, |block| block[WALL_CLOCK_WORD].load(Ordering::Relaxed) as i64)
 }
 
 /// The next number of a splitmix64 sequence.
-fn draw() -> u64 {
+fn next_random() -> u64 {
     const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-    let mut mixed = DRAWS.fetch_add(STEP, Ordering::Relaxed).wrapping_add(STEP);
+    let mut mixed = RANDOM_STATE.fetch_add(STEP, Ordering::Relaxed).wrapping_add(STEP);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,40 +1,45 @@
-//! A library for `LD_PRELOAD` that makes system calls of a process under test fail as Linux documents.
+//! A library for `LD_PRELOAD` that injects faults into the system calls of a process under test: each fault is a result
+//! that the Linux manual documents for the call.
 //!
-//! It reads its orders from the control block of [`fault_plan`], named by [`fault_plan::CONTROL_VARIABLE`], and does
-//! nothing without one. Only sockets of the Internet family, regular files and standard error are touched.
+//! Which faults are injected follows from the control block of [`fault_plan`], whose path is in the environment variable
+//! [`fault_plan::CONTROL_VARIABLE`]. Without a block the library only forwards calls. Of all descriptors, faults affect
+//! IPv4 and IPv6 sockets, regular files and standard error alone.
 
 mod control;
 mod real;
 
-use control::{happens, wall_clock_offset};
+use control::{is_injected, wall_clock_offset};
 use fault_plan::SystemCallFault;
 use libc::{c_int, c_void, iovec, pollfd, size_t, sockaddr, socklen_t, ssize_t, timespec};
 
-const NANOSECONDS: i64 = 1_000_000_000;
+/// A short read transfers a part of at most this many bytes, so that even small messages arrive in pieces.
+const MAX_SHORT_READ_BYTES: size_t = 64;
+const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 const NANOSECONDS_PER_MICROSECOND: i64 = 1_000;
 
-/// Fails a call with this error number.
+/// Sets the error number of the calling thread, and returns the result of a failed call.
 fn fail(errno: c_int) -> c_int {
-    // SAFETY: the location of the calling thread's own error number.
+    // SAFETY: the pointer is to the calling thread's own error number.
     unsafe { *libc::__errno_location() = errno };
     -1
 }
 
-/// The error number of the first fault that happens to a call, of those it may meet.
+/// The error number of the first of these faults that is injected into the present call.
 fn first_failure(faults: &[(SystemCallFault, c_int)]) -> Option<c_int> {
-    faults.iter().find(|(fault, _)| happens(*fault)).map(|(_, errno)| *errno)
+    faults.iter().find(|(fault, _)| is_injected(*fault)).map(|(_, errno)| *errno)
 }
 
 /// Whether a descriptor is a TCP or UDP socket over IPv4 or IPv6.
 fn is_internet_socket(fd: c_int) -> bool {
     let (mut domain, mut length): (c_int, socklen_t) = (0, size_of::<c_int>() as socklen_t);
-    // SAFETY: both pointers are to live locals of the sizes that the option wants.
+    // SAFETY: both pointers are to live locals of the sizes that the option requires.
     let result = unsafe {
         libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_DOMAIN, (&raw mut domain).cast(), &raw mut length)
     };
     result == 0 && (domain == libc::AF_INET || domain == libc::AF_INET6)
 }
 
+/// Whether a descriptor is a regular file.
 fn is_regular_file(fd: c_int) -> bool {
     // SAFETY: `stat` is plain data, for which all zeros are a valid value; fstat fills it.
     let mut stat: libc::stat = unsafe { std::mem::zeroed() };
@@ -42,7 +47,7 @@
     unsafe { libc::fstat(fd, &raw mut stat) == 0 && stat.st_mode & libc::S_IFMT == libc::S_IFREG }
 }
 
-/// A part of a length, at least one byte.
+/// The number of bytes that a short read or write transfers: at least one.
 fn part(length: size_t) -> size_t {
     length.div_ceil(3).max(1)
 }
@@ -76,7 +81,7 @@
 /// As socket(2) asks.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if domain == libc::AF_INET && happens(SystemCallFault::SocketFileTableFull) {
+    if domain == libc::AF_INET && is_injected(SystemCallFault::SocketFileTableFull) {
         return fail(libc::ENFILE);
     }
     // SAFETY: the caller's arguments, unchanged.
@@ -107,13 +112,14 @@
 /// As recv(2) asks.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if happens(SystemCallFault::ReadInterrupted) && is_internet_socket(fd) {
+    if is_injected(SystemCallFault::ReadInterrupted) && is_internet_socket(fd) {
         return fail(libc::EINTR) as ssize_t;
     }
-    let is_read = flags & libc::MSG_PEEK == 0;
-    let short = is_read && length > 1 && happens(SystemCallFault::ShortRead) && is_internet_socket(fd);
-    let length = if short { part(length.min(64)) } else { length };
-    // SAFETY: the caller's buffer, of which no more is used than the caller granted.
+    let is_consuming = flags & libc::MSG_PEEK == 0;
+    let short =
+        is_consuming && length > 1 && is_injected(SystemCallFault::ShortRead) && is_internet_socket(fd);
+    let length = if short { part(length.min(MAX_SHORT_READ_BYTES)) } else { length };
+    // SAFETY: the caller's buffer, of which no more is used than the caller passed.
     unsafe { real::recv(fd, buffer, length, flags) }
 }
 
@@ -126,9 +132,9 @@
     if let Some(errno) = write_failure(fd) {
         return fail(errno) as ssize_t;
     }
-    let short = length > 1 && happens(SystemCallFault::ShortWrite) && is_internet_socket(fd);
+    let short = length > 1 && is_injected(SystemCallFault::ShortWrite) && is_internet_socket(fd);
     let length = if short { part(length) } else { length };
-    // SAFETY: the caller's buffer, of which no more is used than the caller granted.
+    // SAFETY: the caller's buffer, of which no more is used than the caller passed.
     unsafe { real::send(fd, buffer, length, flags) }
 }
 
@@ -141,8 +147,8 @@
     if let Some(errno) = write_failure(fd) {
         return fail(errno) as ssize_t;
     }
-    if count > 0 && happens(SystemCallFault::ShortWrite) && is_internet_socket(fd) {
-        // SAFETY: the caller grants `count` buffers, at least one.
+    if count > 0 && is_injected(SystemCallFault::ShortWrite) && is_internet_socket(fd) {
+        // SAFETY: the caller passes `count` buffers, which is at least one.
         let first = unsafe { *buffers };
         if first.iov_len > 1 {
             // SAFETY: a part of the caller's first buffer.
@@ -153,6 +159,7 @@
     unsafe { real::writev(fd, buffers, count) }
 }
 
+/// The error number of a fault that is injected into a write to a socket.
 fn write_failure(fd: c_int) -> Option<c_int> {
     let failure = first_failure(&[
         (SystemCallFault::WriteInterrupted, libc::EINTR),
@@ -167,7 +174,7 @@
 /// As poll(2) asks.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn poll(fds: *mut pollfd, count: libc::nfds_t, timeout: c_int) -> c_int {
-    if happens(SystemCallFault::PollInterrupted) {
+    if is_injected(SystemCallFault::PollInterrupted) {
         return fail(libc::EINTR);
     }
     // SAFETY: the caller's arguments, unchanged.
@@ -180,12 +187,12 @@
 /// As read(2) asks.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
-    if happens(SystemCallFault::FileReadFails) && is_regular_file(fd) {
+    if is_injected(SystemCallFault::FileReadFails) && is_regular_file(fd) {
         return fail(libc::EIO) as ssize_t;
     }
-    let short = length > 1 && happens(SystemCallFault::FileShortRead) && is_regular_file(fd);
+    let short = length > 1 && is_injected(SystemCallFault::FileShortRead) && is_regular_file(fd);
     let length = if short { part(length) } else { length };
-    // SAFETY: the caller's buffer, of which no more is used than the caller granted.
+    // SAFETY: the caller's buffer, of which no more is used than the caller passed.
     unsafe { real::read(fd, buffer, length) }
 }
 
@@ -195,14 +202,14 @@
 /// As write(2) asks.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    if fd == libc::STDERR_FILENO && happens(SystemCallFault::LogFull) {
+    if fd == libc::STDERR_FILENO && is_injected(SystemCallFault::LogFull) {
         return fail(libc::ENOSPC) as ssize_t;
     }
     // SAFETY: the caller's arguments, unchanged.
     unsafe { real::write(fd, buffer, length) }
 }
 
-/// Replaces clock_gettime(2): the wall clock may be off.
+/// Replaces clock_gettime(2): adds the offset to the wall clock.
 ///
 /// # Safety
 /// As clock_gettime(2) asks.
@@ -214,8 +221,10 @@
     if result == 0 && clock == libc::CLOCK_REALTIME && offset != 0 {
         // SAFETY: the call has filled it in.
         let now = unsafe { *time };
-        let nanoseconds = now.tv_sec * NANOSECONDS + now.tv_nsec + offset * NANOSECONDS_PER_MICROSECOND;
-        let (tv_sec, tv_nsec) = (nanoseconds.div_euclid(NANOSECONDS), nanoseconds.rem_euclid(NANOSECONDS));
+        let nanoseconds =
+            now.tv_sec * NANOSECONDS_PER_SECOND + now.tv_nsec + offset * NANOSECONDS_PER_MICROSECOND;
+        let (tv_sec, tv_nsec) =
+            (nanoseconds.div_euclid(NANOSECONDS_PER_SECOND), nanoseconds.rem_euclid(NANOSECONDS_PER_SECOND));
         // SAFETY: the caller's own structure.
         unsafe { *time = timespec { tv_sec, tv_nsec } };
     }
--- a/crates/fault-shim/src/real.rs
+++ b/crates/fault-shim/src/real.rs
@@ -1,10 +1,11 @@
-//! The C library's own functions, behind those of this library.
+//! The functions of the C library that this library replaces.
 
 use libc::{c_int, c_void, iovec, nfds_t, pollfd, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// Declares a function that forwards to the next definition of the same name.
+/// Defines functions that call the next definition of the same name in the dynamic linker's search order, which is that
+/// of the C library.
 macro_rules! forward {
     ($($name:ident($($argument:ident: $kind:ty),*) -> $result:ty;)*) => {$(
         pub unsafe fn $name($($argument: $kind),*) -> $result {
@@ -12,13 +13,13 @@
             static NEXT: OnceLock<Function> = OnceLock::new();
             const NAME: &CStr = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
                 Ok(name) => name,
-                Err(_) => panic!("a function's name holds no NUL"),
+                Err(_) => panic!("a function name contains no NUL"),
             };
             let next = NEXT.get_or_init(|| {
-                // SAFETY: the C library defines a function of this name and type.
+                // SAFETY: the C library defines a function with this name and type.
                 unsafe { std::mem::transmute::<*mut c_void, Function>(libc::dlsym(libc::RTLD_NEXT, NAME.as_ptr())) }
             });
-            // SAFETY: the caller keeps the function's own contract.
+            // SAFETY: the caller upholds the contract of the function.
             unsafe { next($($argument),*) }
         }
     )*};
--- a/crates/fault-soak/tests/oracle.rs
+++ b/crates/fault-soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle on scripted histories: what keeps the promises passes, and each broken one is found.
+//! The oracle on scripted histories: a correct one has no violation, and each violation is found.
 
 use fault_soak::deployment::Deployment;
 use fault_soak::oracle::{Invariant, judge};
@@ -12,22 +12,22 @@
 const DECODE: usize = 1;
 const OTHER_DECODE: usize = 2;
 
-/// A history that is written down one record after another.
-struct Story {
+/// A history that is scripted one record after another.
+struct ScriptedHistory {
     now: Micros,
     entries: Vec<Entry>,
 }
 
-impl Story {
-    /// A fleet of one router and three workers.
+impl ScriptedHistory {
+    /// The start of a fleet of one router and three workers.
     fn new() -> Self {
-        let mut story = Story { now: 10 * SECOND, entries: Vec::new() };
+        let mut history = ScriptedHistory { now: 10 * SECOND, entries: Vec::new() };
         for (worker, role) in [(PREFILL, Role::Prefill), (DECODE, Role::Decode), (OTHER_DECODE, Role::Decode)]
         {
-            story.add(Record::WorkerStarted { worker, role, zone: 0, cell: worker as u64, is_cold: false });
+            history.add(Record::WorkerStarted { worker, role, zone: 0, cell: worker as u64, is_cold: false });
         }
-        story.add(Record::RouterStarted { router: 0 }).add(Record::RouterReady { router: 0 });
-        story
+        history.add(Record::RouterStarted { router: 0 }).add(Record::RouterReady { router: 0 });
+        history
     }
 
     fn add(&mut self, record: Record) -> &mut Self {
@@ -35,61 +35,72 @@
         self
     }
 
+    /// Time passes.
     fn after(&mut self, milliseconds: u64) -> &mut Self {
         self.now += milliseconds * MILLISECOND;
         self
     }
 
-    /// A request that comes, on a connection that has carried none before.
-    fn asks(&mut self, idempotency: Idempotency) -> &mut Self {
-        let begun = Record::RequestStarted {
+    /// A client sends a request on a connection that has carried none before.
+    fn request_sent(&mut self, idempotency: Idempotency) -> &mut Self {
+        let started = Record::RequestStarted {
             request: "q".into(),
             router: 0,
             idempotency,
             prior_requests: 0,
             is_resent: false,
         };
-        self.add(begun).add(Record::RequestSent { request: "q".into(), first_token_timeout: 2 * SECOND })
+        self.add(started).add(Record::RequestSent { request: "q".into(), first_token_timeout: 2 * SECOND })
     }
 
-    /// An attempt that begins, on a connection of its own, and is told so much time.
-    fn begins(&mut self, worker: usize, connection: u64, told: Micros) -> &mut Self {
-        let (call, request, propagated_timeout) = (CallKind::Attempt, "q".into(), Some(told));
+    /// The router starts an attempt on a connection of its own, with a time limit.
+    fn attempt_started(&mut self, worker: usize, connection: u64, timeout: Micros) -> &mut Self {
+        let (call, request, propagated_timeout) = (CallKind::Attempt, "q".into(), Some(timeout));
         self.add(Record::CallStarted { call, request, router: 0, worker, connection, propagated_timeout })
     }
 
-    fn arrives(&mut self, worker: usize, connection: u64) -> &mut Self {
+    /// The attempt reaches its worker.
+    fn attempt_received(&mut self, worker: usize, connection: u64) -> &mut Self {
         self.add(Record::CallReceived { call: CallKind::Attempt, request: "q".into(), worker, connection })
     }
 
-    fn answers(&mut self, worker: usize, connection: u64, status: u16, had_no_effect: bool) -> &mut Self {
+    /// The worker responds to the attempt.
+    fn attempt_completed(
+        &mut self,
+        worker: usize,
+        connection: u64,
+        status: u16,
+        had_no_effect: bool,
+    ) -> &mut Self {
         let (request, is_complete) = ("q".into(), status != 0);
         self.add(Record::CallCompleted { request, worker, connection, status, had_no_effect, is_complete })
     }
 
-    /// A prompt that is read, and whose state is held.
-    fn is_read(&mut self) -> &mut Self {
-        self.begins(PREFILL, 1, SECOND).arrives(PREFILL, 1).after(50);
+    /// A prefill worker processes the prompt and reserves its KV cache.
+    fn prefilled(&mut self) -> &mut Self {
+        self.attempt_started(PREFILL, 1, SECOND).attempt_received(PREFILL, 1).after(50);
         self.add(Record::CacheReserved { request: "q".into(), worker: PREFILL });
-        self.answers(PREFILL, 1, 202, true)
+        self.attempt_completed(PREFILL, 1, 202, true)
     }
 
-    fn is_answered(&mut self, status: u16) -> &mut Self {
+    /// The client gets a response.
+    fn responded(&mut self, status: u16) -> &mut Self {
         self.add(Record::ResponseStarted { request: "q".into(), status, has_retry_after: true });
         let (is_intact, longest_delay) = (true, 0);
         self.add(Record::ResponseEnded { request: "q".into(), is_complete: true, is_intact, longest_delay })
     }
 
-    /// A decode worker that takes the state over and streams the whole answer.
-    fn is_served(&mut self, worker: usize, connection: u64) -> &mut Self {
-        self.begins(worker, connection, SECOND).arrives(worker, connection);
+    /// A decode worker fetches the KV cache and streams the whole response.
+    fn served_by(&mut self, worker: usize, connection: u64) -> &mut Self {
+        self.attempt_started(worker, connection, SECOND).attempt_received(worker, connection);
         self.add(Record::CacheReservationEnded { request: "q".into() })
             .after(20)
-            .answers(worker, connection, 200, false);
-        self.add(Record::FirstEventReceived { request: "q".into() }).is_answered(200)
+            .attempt_completed(worker, connection, 200, false);
+        self.add(Record::FirstEventReceived { request: "q".into() }).responded(200)
     }
 
-    fn found(&mut self) -> Vec<Invariant> {
+    /// The invariants that the oracle finds violated.
+    fn violated(&mut self) -> Vec<Invariant> {
         let deployment = Deployment::draw(&mut StdRng::seed_from_u64(1), 1);
         let verdict = judge(&self.entries, &deployment, self.now..self.now);
         verdict.violations.into_iter().map(|violation| violation.invariant).collect()
@@ -97,124 +108,154 @@
 }
 
 #[test]
-fn a_request_that_is_served_breaks_nothing() {
+fn a_request_that_is_served_violates_nothing() {
     assert_eq!(
-        Story::new().asks(Idempotency::NonIdempotent).is_read().after(5).is_served(DECODE, 2).found(),
+        ScriptedHistory::new()
+            .request_sent(Idempotency::NonIdempotent)
+            .prefilled()
+            .after(5)
+            .served_by(DECODE, 2)
+            .violated(),
         []
     );
 }
 
 #[test]
-fn a_request_without_an_answer_is_lost_unless_its_router_was_killed() {
+fn a_request_without_a_response_is_found_unless_its_router_was_killed() {
     let unanswered = || Record::ConnectionEndedUnanswered { request: "q".into(), end: ConnectionEnd::Reset };
-    let mut story = Story::new();
-    story.asks(Idempotency::Idempotent).after(10).add(unanswered());
-    assert_eq!(story.found(), [Invariant::FinalResponse]);
-    let mut story = Story::new();
-    story
-        .asks(Idempotency::Idempotent)
+    let mut history = ScriptedHistory::new();
+    history.request_sent(Idempotency::Idempotent).after(10).add(unanswered());
+    assert_eq!(history.violated(), [Invariant::FinalResponse]);
+    let mut history = ScriptedHistory::new();
+    history
+        .request_sent(Idempotency::Idempotent)
         .after(10)
         .add(Record::RouterSignalled { router: 0, signal: RouterSignal::Kill });
-    assert_eq!(story.add(unanswered()).found(), []);
+    assert_eq!(history.add(unanswered()).violated(), []);
 }
 
 #[test]
-fn a_late_answer_and_a_refusal_without_advice_are_found() {
+fn a_late_response_and_a_rejection_without_retry_after_are_found() {
     assert_eq!(
-        Story::new().asks(Idempotency::Idempotent).after(2_600).is_answered(503).found(),
+        ScriptedHistory::new().request_sent(Idempotency::Idempotent).after(2_600).responded(503).violated(),
         [Invariant::FinalResponse]
     );
-    let mut story = Story::new();
-    story.asks(Idempotency::Idempotent).add(Record::ResponseStarted {
+    let mut history = ScriptedHistory::new();
+    history.request_sent(Idempotency::Idempotent).add(Record::ResponseStarted {
         request: "q".into(),
         status: 503,
         has_retry_after: false,
     });
-    assert_eq!(story.found(), [Invariant::RetryAfterPresent]);
+    assert_eq!(history.violated(), [Invariant::RetryAfterPresent]);
 }
 
 #[test]
-fn an_attempt_for_a_client_that_left_is_found() {
-    let mut story = Story::new();
-    story.asks(Idempotency::Idempotent).add(Record::ClientDisconnected { request: "q".into() });
-    assert_eq!(story.after(200).begins(PREFILL, 1, SECOND).found(), [Invariant::NoAttemptAfterDisconnect]);
+fn an_attempt_after_the_client_disconnected_is_found() {
+    let mut history = ScriptedHistory::new();
+    history.request_sent(Idempotency::Idempotent).add(Record::ClientDisconnected { request: "q".into() });
+    assert_eq!(
+        history.after(200).attempt_started(PREFILL, 1, SECOND).violated(),
+        [Invariant::NoAttemptAfterDisconnect]
+    );
 }
 
 #[test]
-fn an_attempt_behind_the_answer_is_found() {
-    let mut story = Story::new();
-    story.asks(Idempotency::Idempotent).is_answered(503).after(50).begins(PREFILL, 1, SECOND);
-    assert_eq!(story.found(), [Invariant::NoAttemptAfterResponse]);
+fn an_attempt_after_the_response_is_found() {
+    let mut history = ScriptedHistory::new();
+    history
+        .request_sent(Idempotency::Idempotent)
+        .responded(503)
+        .after(50)
+        .attempt_started(PREFILL, 1, SECOND);
+    assert_eq!(history.violated(), [Invariant::NoAttemptAfterResponse]);
 }
 
 #[test]
-fn a_worker_that_is_told_too_much_time_is_found() {
+fn a_propagated_timeout_beyond_the_deadline_is_found() {
     assert_eq!(
-        Story::new().asks(Idempotency::Idempotent).begins(PREFILL, 1, 3 * SECOND).found(),
+        ScriptedHistory::new()
+            .request_sent(Idempotency::Idempotent)
+            .attempt_started(PREFILL, 1, 3 * SECOND)
+            .violated(),
         [Invariant::DeadlinePropagated]
     );
 }
 
 #[test]
-fn a_second_copy_is_found_and_a_closed_first_one_is_none() {
-    let two = |closes: bool| {
-        let mut story = Story::new();
-        story.asks(Idempotency::Idempotent).begins(PREFILL, 1, SECOND).arrives(PREFILL, 1).after(300);
-        if closes {
-            story.add(Record::ConnectionClosedByRouter { connection: 1 });
+fn a_concurrent_attempt_is_found_unless_the_first_one_was_cancelled() {
+    let two = |is_cancelled: bool| {
+        let mut history = ScriptedHistory::new();
+        history
+            .request_sent(Idempotency::Idempotent)
+            .attempt_started(PREFILL, 1, SECOND)
+            .attempt_received(PREFILL, 1)
+            .after(300);
+        if is_cancelled {
+            history.add(Record::ConnectionClosedByRouter { connection: 1 });
         }
-        story.after(1).begins(DECODE, 2, SECOND).arrives(DECODE, 2).after(100);
-        story.add(Record::ConnectionClosedByRouter { connection: 1 }).found()
+        history.after(1).attempt_started(DECODE, 2, SECOND).attempt_received(DECODE, 2).after(100);
+        history.add(Record::ConnectionClosedByRouter { connection: 1 }).violated()
     };
     assert_eq!(two(true), []);
     assert_eq!(two(false), [Invariant::SingleAttemptInFlight]);
 }
 
 #[test]
-fn what_ran_twice_or_is_refused_though_it_may_have_run_is_found() {
-    let mut story = Story::new();
-    story.asks(Idempotency::NonIdempotent).is_read().begins(DECODE, 2, SECOND).arrives(DECODE, 2);
-    story.add(Record::CacheReservationEnded { request: "q".into() }).after(20).answers(DECODE, 2, 500, false);
-    let entries = story.entries.clone();
+fn a_repeated_or_rejected_non_idempotent_request_is_found_after_it_may_have_been_executed() {
+    let mut history = ScriptedHistory::new();
+    history
+        .request_sent(Idempotency::NonIdempotent)
+        .prefilled()
+        .attempt_started(DECODE, 2, SECOND)
+        .attempt_received(DECODE, 2);
+    history
+        .add(Record::CacheReservationEnded { request: "q".into() })
+        .after(20)
+        .attempt_completed(DECODE, 2, 500, false);
+    let entries = history.entries.clone();
     assert_eq!(
-        story.after(5).begins(OTHER_DECODE, 3, SECOND).arrives(OTHER_DECODE, 3).found(),
+        history
+            .after(5)
+            .attempt_started(OTHER_DECODE, 3, SECOND)
+            .attempt_received(OTHER_DECODE, 3)
+            .violated(),
         [Invariant::IdempotencyRespected]
     );
-    story.entries = entries;
-    assert_eq!(story.is_answered(503).found(), [Invariant::RejectionSafeToRetry]);
+    history.entries = entries;
+    assert_eq!(history.responded(503).violated(), [Invariant::RejectionSafeToRetry]);
 }
 
 #[test]
-fn a_state_that_is_held_while_nothing_arrives_is_found() {
-    let held = |arrives: bool| {
-        let mut story = Story::new();
-        story.asks(Idempotency::Idempotent).is_read().begins(DECODE, 2, SECOND);
-        if arrives {
-            story.arrives(DECODE, 2);
+fn a_cache_that_stays_reserved_while_no_attempt_arrives_is_found() {
+    let reserved = |is_received: bool| {
+        let mut history = ScriptedHistory::new();
+        history.request_sent(Idempotency::Idempotent).prefilled().attempt_started(DECODE, 2, SECOND);
+        if is_received {
+            history.attempt_received(DECODE, 2);
         }
-        story.after(1_000).add(Record::CacheReservationEnded { request: "q".into() }).found()
+        history.after(1_000).add(Record::CacheReservationEnded { request: "q".into() }).violated()
     };
-    assert_eq!(held(true), []);
-    assert_eq!(held(false), [Invariant::CacheReleased]);
+    assert_eq!(reserved(true), []);
+    assert_eq!(reserved(false), [Invariant::CacheReleased]);
 }
 
 #[test]
-fn a_send_to_a_worker_that_drains_is_found_once_the_grace_is_over() {
-    let drained = |silent: bool| {
-        let mut story = Story::new();
-        if silent {
-            story.add(Record::DiscoveryDisturbed { router: 0, allowance: 6 * SECOND });
+fn an_attempt_at_a_draining_worker_is_found_after_the_grace_period() {
+    let drained = |is_disturbed: bool| {
+        let mut history = ScriptedHistory::new();
+        if is_disturbed {
+            history.add(Record::DiscoveryDisturbed { router: 0, allowance: 6 * SECOND });
         }
-        story.add(Record::WorkerWithdrawn { router: 0, worker: PREFILL }).after(1_500);
-        story.asks(Idempotency::Idempotent).begins(PREFILL, 1, SECOND).found()
+        history.add(Record::WorkerWithdrawn { router: 0, worker: PREFILL }).after(1_500);
+        history.request_sent(Idempotency::Idempotent).attempt_started(PREFILL, 1, SECOND).violated()
     };
     assert_eq!(drained(true), []);
     assert_eq!(drained(false), [Invariant::DrainRespected]);
 }
 
 #[test]
-fn a_process_that_ends_by_itself_is_found() {
-    let mut story = Story::new();
-    story.add(Record::RouterExited { router: 0, was_expected: false, status: "signal: 6".into() });
-    assert_eq!(story.found(), [Invariant::NoCrash]);
+fn a_process_that_crashes_is_found() {
+    let mut history = ScriptedHistory::new();
+    history.add(Record::RouterExited { router: 0, was_expected: false, status: "signal: 6".into() });
+    assert_eq!(history.violated(), [Invariant::NoCrash]);
 }
--- a/crates/fleet-emulator/tests/worker.rs
+++ b/crates/fleet-emulator/tests/worker.rs
@@ -1,4 +1,4 @@
-//! What workers do with the KV caches of requests, over a connection in memory.
+//! How workers reserve, fetch and release KV caches, over connections in memory.
 
 use fleet_emulator::history::History;
 use fleet_emulator::http::MessageReader;
@@ -10,7 +10,7 @@
 const ATTEMPT: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nx-request-id: q\r\nx-deadline: 5000m\r\ncontent-length: 0\r\n\r\n";
 const RELEASE: &[u8] = b"DELETE /internal/reservations/q HTTP/1.1\r\n\r\n";
 
-/// A connection to a worker.
+/// The router's side of a connection to a worker.
 struct Connection {
     input: MessageReader<ReadHalf<DuplexStream>>,
     output: WriteHalf<DuplexStream>,
@@ -24,6 +24,7 @@
         Connection { input: MessageReader::new(input), output }
     }
 
+    /// Sends a request and returns the status of the response.
     async fn call(&mut self, request: &[u8]) -> u16 {
         self.output.write_all(request).await.unwrap();
         let head = self.input.read_response().await.unwrap().unwrap();
@@ -32,8 +33,9 @@
     }
 }
 
+/// A prefill worker and a decode worker of the same fleet, and its history.
 fn workers() -> (Arc<Worker>, Arc<Worker>, History) {
-    let (caches, history) = (CacheReservations::default(), History::default());
+    let (reservations, history) = (CacheReservations::default(), History::default());
     let worker = |index, role| {
         let settings = WorkerSettings {
             index,
@@ -46,14 +48,14 @@
             prefill_tokens_per_second: 1_000,
             event_interval: 1_000,
         };
-        Worker::new(settings, caches.clone(), history.clone())
+        Worker::new(settings, reservations.clone(), history.clone())
     };
     let (prefill, decode) = (worker(0, Role::Prefill), worker(1, Role::Decode));
     (prefill, decode, history)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_decode_worker_takes_a_cache_over_once() {
+async fn a_decode_worker_fetches_a_cache_once() {
     let (prefill, decode, _) = workers();
     assert_eq!(Connection::to(&decode, 1).call(ATTEMPT).await, 410);
     assert_eq!(Connection::to(&prefill, 2).call(ATTEMPT).await, 202);
@@ -62,7 +64,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn any_worker_releases_what_no_attempt_waits_for() {
+async fn any_worker_releases_a_cache_that_no_attempt_has_claimed() {
     let (prefill, decode, history) = workers();
     assert_eq!(Connection::to(&prefill, 1).call(ATTEMPT).await, 202);
     assert_eq!(Connection::to(&decode, 2).call(RELEASE).await, 204);
@@ -73,7 +75,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_worker_that_dies_loses_what_it_holds_and_ends_its_connections() {
+async fn a_crashed_worker_loses_its_reservations_and_connections() {
     let (prefill, decode, _) = workers();
     let mut connection = Connection::to(&prefill, 1);
     assert_eq!(connection.call(ATTEMPT).await, 202);
