--- a/crates/fleet-emulator/src/clock.rs
+++ b/crates/fleet-emulator/src/clock.rs
@@ -73,7 +73,11 @@
 
 /// Sleeps until a point in time; returns at once if it has passed.
 pub async fn sleep_until(time: Timestamp) {
-    tokio::time::sleep(time.since(now())).await;
+    let remaining = time.since(now());
+    // Even a sleep of no length would be pending once, and lose against other branches of a biased `select!`.
+    if !remaining.is_zero() {
+        tokio::time::sleep(remaining).await;
+    }
 }
 
 /// Sleeps until a point in time, or forever without one.
