--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,11 +1,11 @@
-//! The clock that the driver goes by.
+//! The driver's clock.
 
 use crate::interface::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The router's clock: microseconds since 1970 at its start, monotonic from there. All machines read a
-/// single clock, so starts of workers can be set against it.
+/// The router's clock: microseconds since 1970 when it is started, and monotonic from there, whatever happens to the wall
+/// clock. The machines of a deployment have synchronized clocks, so the start times of workers can be compared with it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -13,23 +13,23 @@
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts a clock.
     pub fn start() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), at_origin: since.as_micros() as Micros }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { origin: Instant::now(), at_origin: since_epoch.as_micros() as Micros }
     }
 
-    /// Now.
+    /// The present time.
     pub fn now(&self) -> Micros {
         self.at_origin + self.origin.elapsed().as_micros() as Micros
     }
 
-    /// So long before now.
-    pub fn ago(&self, time: Duration) -> Micros {
-        self.now().saturating_sub(time.as_micros() as Micros)
+    /// The time a given duration before the present one.
+    pub fn ago(&self, duration: Duration) -> Micros {
+        self.now().saturating_sub(duration.as_micros() as Micros)
     }
 
-    /// A moment as the runtime counts it.
+    /// The tokio instant of a time on this clock; the clock's start for a time before it.
     pub fn instant(&self, at: Micros) -> Instant {
         self.origin + Duration::from_micros(at.saturating_sub(self.at_origin))
     }
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -1,15 +1,17 @@
-//! Counts of what a conductor takes in, sends and answers; printed on SIGUSR1 and at exit.
+//! The router's counters. They are printed on SIGUSR1 and at exit as `name=value` pairs, which operators' tooling reads: a
+//! counter's name is its field's name.
 
 use crate::rules::Violations;
 use std::cell::Cell;
 use std::fmt;
 
+/// Defines [`Counters`], so that the printed names cannot differ from the fields.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// The counters of one conductor.
+        /// The counters of one router.
         #[derive(Debug, Default)]
         pub struct Counters {
-            /// Promises that were found broken, or would have been.
+            /// Invariants that were found broken, or would have been.
             pub violations: Violations,
             $($(#[$doc])* pub $name: Count),*
         }
@@ -26,7 +28,7 @@
     };
 }
 
-/// A number that only grows.
+/// A count that only grows.
 #[derive(Debug, Default)]
 pub struct Count(Cell<u64>);
 
@@ -36,7 +38,7 @@
         self.0.set(self.0.get() + 1);
     }
 
-    /// The number.
+    /// The present count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -47,77 +49,77 @@
     client_connections,
     /// Accepts that failed.
     accept_errors,
-    /// Client connections refused for want of sockets.
+    /// Client connections rejected for lack of sockets.
     connections_rejected,
-    /// Requests taken.
+    /// Requests handed to the driver.
     requests_received,
-    /// Requests answered with a 4xx for what they are.
+    /// Requests answered with a 4xx status because they are malformed.
     requests_malformed,
-    /// Client connections, idle or with half a request, closed to make room for others.
+    /// Client connections, idle or with an incomplete request, that were closed to make room for others.
     connections_evicted,
-    /// Client connections closed before their request had come whole.
+    /// Client connections closed because their request was not complete in time.
     requests_timed_out,
-    /// Requests refused before the module saw them, for want of room.
+    /// Requests shed before the policy saw them, for lack of capacity.
     requests_shed,
-    /// Requests refused because they came during the closing stage of a shutdown.
+    /// Requests rejected because they came in the closing phase of a graceful shutdown.
     rejected_at_shutdown,
-    /// Connections opened to model hosts.
+    /// Connections opened to workers.
     upstream_connections,
-    /// Kept connections that were reset as soon as a request was written to them.
+    /// Pooled connections that were reset as soon as a request was written to them.
     stale_connections,
-    /// Requests sent to model hosts.
+    /// Attempts of which something was written to a worker.
     attempts_sent,
-    /// Sends held back because the model host drains or is gone.
+    /// Attempts withheld at the moment of writing: the worker is draining or removed, say.
     attempts_withheld,
-    /// Attempts that ended: prompt read.
+    /// Attempts that ended with a processed prompt.
     attempts_prefill_completed,
-    /// Attempts that ended: answer streamed to its end.
+    /// Attempts that ended with a completely streamed answer.
     attempts_completed,
-    /// Attempts that ended: turned away, state missing included.
+    /// Attempts that a worker rejected, missing KV caches included.
     attempts_rejected,
-    /// Attempts that ended: no connection.
+    /// Attempts that never reached their worker.
     attempts_connect_failed,
-    /// Attempts that ended: connection lost.
+    /// Attempts whose connection was lost.
     attempts_connection_lost,
-    /// Attempts that ended: no answer in time.
+    /// Attempts that had no response in time.
     attempts_timed_out,
-    /// Attempts that ended: an error of the model host.
+    /// Attempts that ended with an error of the worker.
     attempts_worker_error,
-    /// Attempts that ended: dropped.
+    /// Attempts that were cancelled.
     attempts_cancelled,
-    /// Attempts that ended: never sent.
+    /// Attempts of which nothing was sent.
     attempts_not_sent,
-    /// Answers begun to stream to clients.
+    /// Answers that began to stream to clients.
     responses_streamed,
-    /// Requests refused.
+    /// Requests rejected.
     responses_rejected,
     /// Requests failed.
     responses_failed,
-    /// Clients that left before their answer's end.
+    /// Clients that disconnected before the end of their answer.
     client_disconnects,
     /// Streams that broke after their first event.
     streams_broken,
-    /// Calls that let go of held states.
+    /// Releases of held KV caches.
     cache_releases,
-    /// Releases of what was held under an attempt that was not answered.
+    /// Releases at the hold limit, while an attempt was unanswered.
     cache_releases_forced,
-    /// Releases that no model host took.
+    /// Releases that no worker executed.
     cache_releases_failed,
-    /// Lists and changes of lists received.
+    /// Updates of the endpoint list received.
     endpoint_updates,
     /// Watches of discovery that broke or fell silent.
     watches_lost,
-    /// Configurations taken in on SIGHUP.
+    /// Configurations loaded on SIGHUP.
     reloads,
-    /// Configurations that could not be used on SIGHUP.
+    /// Configurations that could not be loaded on SIGHUP.
     reloads_failed,
-    /// Tool calls that writers asked for.
+    /// Tool calls that decode workers asked for.
     tool_calls,
-    /// Tool calls whose bytes went out to the tool side.
+    /// Tool calls of which something was written to the tool server.
     tool_executions,
-    /// Tool calls answered from the ledger.
+    /// Tool calls answered from the replay buffer.
     tool_replays,
-    /// Tool calls answered with an error of the front's own.
+    /// Tool calls answered with an error of the JSON-RPC front end itself.
     tool_errors,
     /// Panics that were caught.
     panics,
--- /dev/null
+++ b/src/runtime/driver/actions.rs
@@ -0,0 +1,106 @@
+//! How the driver executes the actions of the policy.
+//!
+//! The policy decides by what it has been told; the driver checks again, by what it knows at the moment of the action, that
+//! no invariant of [`rules`](crate::rules) would be broken. An action that would break one is recorded and not executed.
+
+use super::Driver;
+use crate::interface::{Action, AttemptIndex, EndReason, Micros, RequestId, WorkerId};
+use crate::rules::Rule;
+use crate::rules::send::may_attempt;
+use crate::runtime::active_request::AttemptOrder;
+use crate::runtime::timers::TimerEntry;
+
+impl Driver {
+    pub(super) fn execute(&mut self, action: Action) {
+        match action {
+            Action::Send { request, worker, stage, timeout, begin_before } => {
+                self.send(request, AttemptOrder { worker, stage, timeout, begin_before });
+            }
+            Action::Reject { request, retry_after, reason } => self.reject(request, retry_after, reason),
+            Action::Fail { request, reason } => self.fail(request, reason),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::ReleaseCache { request } => self.release_cache(request),
+            Action::ReserveSlot { request, worker } => self.reserve_slot(request, worker),
+            Action::MigrateStream { request } => self.migrate_stream(request),
+            Action::SetTimer { at, timer } => self.timers.push(at, TimerEntry::Policy(timer)),
+            Action::CheckHealth { worker } => self.outbound.check_health(worker),
+            Action::CloseIdleConnections { worker } => self.outbound.close_idle_connections(&worker),
+            // The endpoint watcher watches from the start on and reconnects by itself: asking once more would only cut off
+            // the watch that is about to be answered.
+            Action::WatchEndpoints => {}
+            Action::PollEndpoints => self.outbound.poll_endpoints(),
+            Action::Gossip { .. } => {
+                log::debug!("there is no gossip between routers here: a message to peers is dropped")
+            }
+            Action::Log(text) => log::info!("policy: {text}"),
+        }
+    }
+
+    fn send(&mut self, request: RequestId, order: AttemptOrder) {
+        let now = self.clock.now();
+        let Some(active) = self.requests.get_mut(request) else { return };
+        if let Err(rule) = may_attempt(&active.facts(&self.settings)) {
+            let detail = format!("not sent to {}", order.worker.0);
+            self.counters.violations.note(rule, active.id(), detail);
+            return;
+        }
+        let attempt = active.start_attempt(order, now);
+        self.outbound.send(attempt);
+    }
+
+    /// Rejects a request, or fails it where a rejection would promise too much.
+    fn reject(&mut self, request: RequestId, retry_after: Option<Micros>, reason: EndReason) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        if !active.is_answered() && !active.is_rejection_harmless() {
+            let detail = format!("failed instead of rejected ({reason:?})");
+            self.counters.violations.note(Rule::HonestRefusal, active.id(), detail);
+            return self.fail(request, reason);
+        }
+        let Some(responder) = active.take_responder() else { return };
+        log::debug!("request {}: rejected: reason {reason:?}, retry after {retry_after:?} us", active.id());
+        self.counters.responses_rejected.increment();
+        responder.reject(retry_after);
+        self.answered.push(request);
+    }
+
+    fn fail(&mut self, request: RequestId, reason: EndReason) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        let Some(responder) = active.take_responder() else { return };
+        log::debug!("request {}: failed: reason {reason:?}", active.id());
+        self.counters.responses_failed.increment();
+        responder.fail();
+        self.answered.push(request);
+    }
+
+    fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptIndex) {
+        if let Some(active) = self.requests.get_mut(request) {
+            active.cancel_attempt(attempt);
+        }
+    }
+
+    fn migrate_stream(&mut self, request: RequestId) {
+        if let Some(active) = self.requests.get_mut(request) {
+            active.cancel_streams();
+        }
+    }
+
+    fn reserve_slot(&mut self, request: RequestId, worker: WorkerId) {
+        if let Some(active) = self.requests.get(request) {
+            self.outbound.reserve_slot(request, active.forwarded(), worker);
+        }
+    }
+
+    /// Releases the KV cache that is held for a request.
+    pub(super) fn release_cache(&mut self, request: RequestId) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        active.held_cache().clear();
+        self.start_release(request);
+    }
+
+    pub(super) fn start_release(&mut self, request: RequestId) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        self.counters.cache_releases.increment();
+        let release = active.start_release();
+        self.outbound.release_cache(active.forwarded(), release);
+    }
+}
--- /dev/null
+++ b/src/runtime/driver/inputs.rs
@@ -0,0 +1,126 @@
+//! What the driver does with its inputs: it updates the table of requests and notifies the policy.
+
+use super::Driver;
+use super::limits::DriverEndReason;
+use crate::interface::{
+    AttemptEnd, AttemptIndex, Event, Idempotency, LoadReport, Outcome, RequestId, RequestSpec,
+};
+use crate::runtime::active_request::ActiveRequest;
+use crate::runtime::counters::Count;
+use crate::runtime::exchange::{ForwardedRequest, Responder, ResponseStream};
+use crate::runtime::handle::DriverInput;
+use crate::runtime::timers::TimerEntry;
+use std::rc::Rc;
+
+/// How an attempt ended, and what it found.
+struct AttemptResult {
+    outcome: Outcome,
+    cached_tokens: u64,
+    report: Option<LoadReport>,
+}
+
+impl Driver {
+    pub(super) fn handle_input(&mut self, input: DriverInput) {
+        match input {
+            DriverInput::RequestReceived { spec, forwarded, responder } => {
+                self.request_received(spec, forwarded, responder)
+            }
+            DriverInput::ClientDisconnected(request) => self.client_disconnected(request),
+            DriverInput::StreamStarted { request, attempt, stream } => {
+                self.stream_started(request, attempt, stream)
+            }
+            DriverInput::AttemptEnded { request, attempt, outcome, cached_tokens, report } => {
+                let result = AttemptResult { outcome, cached_tokens, report };
+                self.attempt_ended(request, attempt, result);
+            }
+            DriverInput::EndpointsUpdated { kind, endpoints } => {
+                self.counters.endpoint_updates.increment();
+                self.notify_policy(Event::EndpointsUpdated { kind, endpoints });
+            }
+            DriverInput::SlotReserved { request, worker, reserved } => {
+                if self.requests.contains(request) {
+                    self.notify_policy(Event::SlotReserved { request, worker, reserved });
+                }
+            }
+            DriverInput::HealthChecked { worker, outcome, report } => {
+                self.notify_policy(Event::HealthChecked { worker, outcome, report })
+            }
+        }
+    }
+
+    fn request_received(&mut self, spec: RequestSpec, forwarded: Rc<ForwardedRequest>, responder: Responder) {
+        self.counters.requests_received.increment();
+        log::debug!("request {}: received {spec:?}", forwarded.id);
+        let class = self.settings.classes.iter().find(|class| class.name == spec.class);
+        // A request of a class that the settings don't name is never repeated.
+        let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
+        let (number, deadline) = (spec.request, spec.deadline);
+        let request = ActiveRequest::new(number, forwarded, deadline, idempotency, responder);
+        self.requests.insert(number, request);
+        self.timers.push(deadline + self.settings.answer_grace, TimerEntry::AnswerDeadline(number));
+        self.timers.prune(&self.requests);
+        self.notify_policy(Event::RequestReceived(spec));
+    }
+
+    /// The client has disconnected, or has shut down its sending side and may still read the answer.
+    fn client_disconnected(&mut self, request: RequestId) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        self.counters.client_disconnects.increment();
+        active.cancel_streams();
+        self.end_request(request, DriverEndReason::ClientDisconnected);
+    }
+
+    fn stream_started(&mut self, request: RequestId, attempt: AttemptIndex, stream: ResponseStream) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        // Where the request has its final answer, the stream is dropped, and its attempt ends with it.
+        let Some(started) = active.start_stream(attempt) else { return };
+        let elapsed = self.clock.now().saturating_sub(started.sent_at);
+        log::debug!("request {}: attempt {} streams after {elapsed} us", active.id(), attempt.0);
+        self.counters.responses_streamed.increment();
+        started.responder.stream(stream);
+        self.notify_policy(Event::StreamStarted { request, attempt, elapsed });
+    }
+
+    fn attempt_ended(&mut self, request: RequestId, attempt: AttemptIndex, result: AttemptResult) {
+        let AttemptResult { outcome, cached_tokens, report } = result;
+        let now = self.clock.now();
+        let Some(active) = self.requests.get_mut(request) else { return };
+        let Some(elapsed) = active.end_attempt(attempt, outcome, now) else { return };
+        log::debug!(
+            "request {}: attempt {} ended: {outcome:?} after {elapsed} us, {cached_tokens} cached tokens",
+            active.id(),
+            attempt.0
+        );
+        let request_finished = active.is_answered();
+        let release_due = active.held_cache().release_due(self.settings.cache_hold_limit);
+        if let Some(at) = release_due {
+            self.timers.push(at, TimerEntry::CacheHoldLimit(request));
+        }
+        self.attempts_ended_with(outcome).increment();
+        self.notify_policy(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            elapsed,
+            request_finished,
+            cached_tokens,
+            report,
+        }));
+        self.remove_if_finished(request);
+    }
+
+    fn attempts_ended_with(&self, outcome: Outcome) -> &Count {
+        let counters = &self.counters;
+        match outcome {
+            Outcome::PrefillCompleted => &counters.attempts_prefill_completed,
+            Outcome::Completed => &counters.attempts_completed,
+            Outcome::Rejected | Outcome::CacheMissing => &counters.attempts_rejected,
+            Outcome::ConnectFailed => &counters.attempts_connect_failed,
+            Outcome::ConnectionLost => &counters.attempts_connection_lost,
+            Outcome::TimedOut => &counters.attempts_timed_out,
+            Outcome::WorkerError => &counters.attempts_worker_error,
+            Outcome::Cancelled => &counters.attempts_cancelled,
+            Outcome::NotSent => &counters.attempts_not_sent,
+        }
+    }
+}
--- /dev/null
+++ b/src/runtime/driver/limits.rs
@@ -0,0 +1,68 @@
+//! What the driver enforces by itself, whatever the policy does: final answers and releases of KV caches in time.
+
+use super::Driver;
+use crate::interface::{Event, Micros, RequestId};
+use crate::rules::Rule;
+use crate::runtime::timers::TimerEntry;
+
+/// Why the driver ends a request without a decision of the policy.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum DriverEndReason {
+    /// The client has disconnected.
+    ClientDisconnected,
+    /// The policy has not answered by the answer deadline.
+    AnswerDeadlineExceeded,
+}
+
+impl Driver {
+    /// Ends a request that the policy has not answered in time: it may have lost the request in a panic.
+    pub(super) fn enforce_answer_deadline(&mut self, request: RequestId) {
+        let Some(active) = self.requests.get_mut(request).filter(|active| !active.is_answered()) else {
+            return;
+        };
+        let detail = "no decision by its deadline, ended by the driver";
+        self.counters.violations.note(Rule::AnswerInTime, active.id(), detail);
+        active.cancel_all();
+        self.release_cache(request);
+        self.end_request(request, DriverEndReason::AnswerDeadlineExceeded);
+    }
+
+    /// Releases the KV cache of a request if its hold limit is over.
+    pub(super) fn enforce_cache_hold_limit(&mut self, request: RequestId, now: Micros) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        let hold_limit = self.settings.cache_hold_limit;
+        let Some(release_due) = active.held_cache().release_due(hold_limit) else { return };
+        if release_due > now {
+            self.timers.push(release_due, TimerEntry::CacheHoldLimit(request));
+            return;
+        }
+        log::debug!("request {}: cache released at its hold limit, attempt unanswered", active.id());
+        self.counters.cache_releases_forced.increment();
+        active.held_cache().released_while_unanswered();
+        self.start_release(request);
+    }
+
+    /// Gives a request its final answer without the policy, if it has none yet, and tells the policy that nobody waits for
+    /// it any more.
+    pub(super) fn end_request(&mut self, request: RequestId, reason: DriverEndReason) {
+        self.answer_without_policy(request, reason);
+        self.notify_policy(Event::ClientDisconnected { request });
+        self.remove_if_finished(request);
+    }
+
+    /// The answer is a rejection only if the client may retry without harm.
+    fn answer_without_policy(&mut self, request: RequestId, reason: DriverEndReason) {
+        let Some(active) = self.requests.get_mut(request) else { return };
+        let Some(responder) = active.take_responder() else { return };
+        if active.is_rejection_harmless() {
+            log::debug!("request {}: rejected by the driver: reason {reason:?}", active.id());
+            self.counters.responses_rejected.increment();
+            let settings = &self.settings;
+            responder.reject(settings.retry_after_allowed.then_some(settings.max_retry_after));
+        } else {
+            log::debug!("request {}: failed by the driver: reason {reason:?}", active.id());
+            self.counters.responses_failed.increment();
+            responder.fail();
+        }
+    }
+}
--- a/src/runtime/tests.rs
+++ b/src/runtime/driver/tests.rs
@@ -1,11 +1,16 @@
-//! Tests of what is private to `core`.
+//! Tests of what is private to the driver.
 
 use super::*;
+use crate::interface::{RequestSpec, WorkerId};
+use crate::runtime::exchange::ForwardedRequest;
+use crate::runtime::timers::PRUNING_THRESHOLD;
+use crate::runtime::{Attempt, DriverHandle, ReleaseProgress};
 use bytes::Bytes;
 
-struct Nowhere;
+/// An upstream client that does nothing.
+struct NoUpstream;
 
-impl Outbound for Nowhere {
+impl Outbound for NoUpstream {
     fn send(&self, _: Attempt) {}
     fn release_cache(&self, _: Rc<ForwardedRequest>, _: Rc<ReleaseProgress>) {}
     fn reserve_slot(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
@@ -16,12 +21,12 @@
 
 /// Guards against memory that grows with every request for as long as the longest deadline that clients state.
 #[tokio::test]
-async fn requests_that_have_ended_leave_no_guards_behind() {
+async fn finished_requests_leave_no_timers_behind() {
     let clock = Clock::start();
-    let (handle, mut queue) = DriverHandle::channel(clock);
-    let mut driver = Driver::new(Settings::default(), 1, clock, Rc::new(Nowhere), Rc::default());
-    for _ in 0..5 * MOST_DUE {
-        let ask = RequestSpec {
+    let (handle, mut inputs) = DriverHandle::channel(clock);
+    let mut driver = Driver::new(Settings::default(), 1, clock, Rc::new(NoUpstream), Rc::default());
+    for _ in 0..5 * PRUNING_THRESHOLD {
+        let spec = RequestSpec {
             request: RequestId(0),
             deadline: clock.now() + 600_000_000,
             session: None,
@@ -33,20 +38,19 @@
             class: String::new(),
             tenant: None,
         };
-        let target = String::new();
-        let call = ForwardedRequest {
+        let forwarded = ForwardedRequest {
             id: String::new(),
-            target,
+            target: String::new(),
             headers: Default::default(),
             body: Bytes::new(),
             client: Default::default(),
             resources: None,
         };
-        drop(handle.submit_request(ask, call));
-        while let Ok(input) = queue.try_recv() {
-            driver.input(input);
+        drop(handle.submit_request(spec, forwarded));
+        while let Ok(input) = inputs.try_recv() {
+            driver.handle_input(input);
         }
     }
-    assert!(driver.open.is_empty());
-    assert!(driver.due.len() <= MOST_DUE + 1, "{}", driver.due.len());
+    assert!(driver.requests.len() == 0);
+    assert!(driver.timers.len() <= PRUNING_THRESHOLD + 1, "{}", driver.timers.len());
 }
--- a/src/runtime/exchange/tests.rs
+++ b/src/runtime/exchange/tests.rs
@@ -1,18 +1,19 @@
-//! Tests of what is private to `exchange`.
+//! Tests of what is private to the exchange.
 
 use super::*;
+use std::cell::Cell;
 
-/// Guards against answers lost to a panic: whoever drops the handle fails the request.
+/// Guards against answers lost to a panic: dropping the responder fails the request.
 #[tokio::test]
-async fn a_handle_dropped_unused_fails_and_a_server_side_dropped_early_tells() {
-    let left = Rc::new(Cell::new(0));
-    let count = left.clone();
-    let tell: Rc<dyn Fn()> = Rc::new(move || count.set(count.get() + 1));
-    let (server, answer) = open(tell.clone());
-    drop(answer);
-    assert!(matches!(server.answer().await.0, FinalResponse::Failed));
-    assert_eq!(left.get(), 0);
-    let (server, _answer) = open(tell);
-    drop(server);
-    assert_eq!(left.get(), 1);
+async fn a_responder_dropped_unused_fails_and_a_pending_response_dropped_early_reports_a_disconnect() {
+    let disconnects = Rc::new(Cell::new(0));
+    let count = disconnects.clone();
+    let on_disconnect: Rc<dyn Fn()> = Rc::new(move || count.set(count.get() + 1));
+    let (pending, responder) = open(on_disconnect.clone());
+    drop(responder);
+    assert!(matches!(pending.answer().await.0, FinalResponse::Failed));
+    assert_eq!(disconnects.get(), 0);
+    let (pending, _responder) = open(on_disconnect);
+    drop(pending);
+    assert_eq!(disconnects.get(), 1);
 }
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -1,28 +1,28 @@
-//! The way in to the driver.
+//! How other parts reach the driver: its inputs, and the handle that submits them.
 
 use super::clock::Clock;
+use super::exchange::{ForwardedRequest, PendingResponse, Responder, ResponseStream, open};
 use crate::interface::{
     AttemptIndex, Endpoint, LoadReport, Outcome, RequestId, RequestSpec, UpdateKind, WorkerId,
 };
-use crate::runtime::exchange::{ForwardedRequest, PendingResponse, Responder, ResponseStream, open};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// What comes to the core.
+/// An input of the driver: something that happened.
 pub enum DriverInput {
-    /// A request was taken.
+    /// A request was received.
     RequestReceived {
-        /// What the module is told.
+        /// What the policy is told of it.
         spec: RequestSpec,
-        /// What is passed on.
+        /// What is forwarded to workers.
         forwarded: Rc<ForwardedRequest>,
-        /// For the final answer.
+        /// Gives the final answer.
         responder: Responder,
     },
-    /// The client has left.
+    /// The client has disconnected.
     ClientDisconnected(RequestId),
-    /// The first event of a stream has come.
+    /// The first event of a stream was received from a worker.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -37,70 +37,72 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Prompt tokens found kept.
+        /// Prompt tokens that the worker found in its cache.
         cached_tokens: u64,
-        /// The worker's load, if told.
+        /// The worker's load, if reported.
         report: Option<LoadReport>,
     },
-    /// News of the list.
+    /// The endpoint list was updated, or could not be.
     EndpointsUpdated {
-        /// How it came.
+        /// What the update contains.
         kind: UpdateKind,
-        /// Its entries.
+        /// Its endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// The answer to a hold.
+    /// A decode worker has answered a reservation.
     SlotReserved {
         /// The request.
         request: RequestId,
-        /// The writer.
+        /// The worker.
         worker: WorkerId,
-        /// Whether the place is held.
+        /// Whether the slot is reserved.
         reserved: bool,
     },
-    /// A probe's result.
+    /// The result of a health check.
     HealthChecked {
         /// The worker.
         worker: WorkerId,
-        /// How it went.
+        /// [`Outcome::Completed`], or what went wrong.
         outcome: Outcome,
-        /// Its load, if told.
+        /// The worker's load, if reported.
         report: Option<LoadReport>,
     },
 }
 
-/// The way in to the core.
+/// A handle to the driver. The driver runs for as long as there is one.
 #[derive(Clone)]
 pub struct DriverHandle {
     inputs: mpsc::UnboundedSender<DriverInput>,
-    next: Rc<Cell<u64>>,
-    /// The clock that the core goes by.
+    next_request: Rc<Cell<u64>>,
+    /// The clock that the driver uses.
     pub clock: Clock,
 }
 
 impl DriverHandle {
-    /// A handle and what the core reads. The queue has no bound of its own: the requests in hand have one.
+    /// A handle and the driver's end of the queue. The queue itself is unbounded: it is bounded by the requests in flight,
+    /// which are limited where they are received.
     pub fn channel(clock: Clock) -> (Self, mpsc::UnboundedReceiver<DriverInput>) {
-        let (inputs, queue) = mpsc::unbounded_channel();
-        (DriverHandle { inputs, next: Rc::new(Cell::new(1)), clock }, queue)
+        let (inputs, driver_end) = mpsc::unbounded_channel();
+        (DriverHandle { inputs, next_request: Rc::new(Cell::new(1)), clock }, driver_end)
     }
 
-    /// Tells the core.
+    /// Submits an input. It is dropped if the driver has ended, which happens only at the end of the process.
     pub fn submit(&self, input: DriverInput) {
         let _ = self.inputs.send(input);
     }
 
-    /// Hands a request to the core; its number is filled in.
-    pub fn submit_request(&self, mut ask: RequestSpec, call: ForwardedRequest) -> PendingResponse {
-        let request = RequestId(self.next.get());
-        self.next.set(request.0 + 1);
-        ask.request = request;
+    /// Submits a request, under a number that is filled in here. Dropping the pending response tells the driver that the
+    /// client has disconnected.
+    pub fn submit_request(&self, mut spec: RequestSpec, forwarded: ForwardedRequest) -> PendingResponse {
+        let request = RequestId(self.next_request.get());
+        self.next_request.set(request.0 + 1);
+        spec.request = request;
         let inputs = self.inputs.clone();
-        let left = move || _ = inputs.send(DriverInput::ClientDisconnected(request));
-        let (server, answer) = open(Rc::new(left));
-        self.submit(DriverInput::RequestReceived { spec: ask, forwarded: Rc::new(call), responder: answer });
-        server
+        let on_disconnect = move || _ = inputs.send(DriverInput::ClientDisconnected(request));
+        let (pending, responder) = open(Rc::new(on_disconnect));
+        self.submit(DriverInput::RequestReceived { spec, forwarded: Rc::new(forwarded), responder });
+        pending
     }
 }
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -1,38 +1,38 @@
-//! What the driver asks of the client side.
+//! What the driver asks of the upstream client.
 
+use super::exchange::{ForwardedRequest, RequestState};
 use crate::interface::{AttemptIndex, Micros, RequestId, Stage, WorkerId};
-use crate::runtime::exchange::{ForwardedRequest, RequestState};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot};
 
-/// One send of a request, for the client side to carry out.
+/// One attempt at a request, for the upstream client to carry out.
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
-    /// Whether it still waits for its final answer: else nothing may begin for it.
+    /// Whether the request still waits for its final answer: otherwise nothing may begin for it.
     pub state: RequestState,
-    /// The attempt.
+    /// The attempt's index.
     pub attempt: AttemptIndex,
-    /// Where it goes.
+    /// The worker that it goes to.
     pub worker: WorkerId,
-    /// What the worker is to do. The answer to a prefill is no stream.
+    /// What the worker is to do. Only a decode is answered by a stream.
     pub stage: Stage,
     /// What is sent.
     pub forwarded: Rc<ForwardedRequest>,
-    /// When to stop waiting for the first event.
+    /// When to stop waiting for the first event of the answer.
     pub until: Micros,
-    /// It may only begin before this.
+    /// The attempt may only begin before this.
     pub begin_before: Option<Micros>,
-    /// A release to wait for: one that comes while this is out would take what it leaves.
+    /// A release to wait for: one that arrives after this attempt would take the cache that the attempt leaves.
     pub after: Option<Rc<ReleaseProgress>>,
-    /// Resolves, or its other end is dropped, when the attempt is to be dropped.
+    /// Resolves, with a value or because its sender was dropped, when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
     /// To be set before anything of the request is written.
     pub begun: Rc<Cell<bool>>,
 }
 
-/// A release in progress, as seen from both ends.
+/// The progress of a release, shared by the driver, the release and an attempt that waits for it.
 #[derive(Default)]
 pub struct ReleaseProgress {
     holder: Option<WorkerId>,
@@ -42,7 +42,7 @@
 }
 
 impl ReleaseProgress {
-    /// A release of what a worker holds, or held last: it has just answered, so it is asked first.
+    /// The progress of a release of what a worker holds, or held last. That worker is asked first.
     pub fn of(holder: Option<&WorkerId>) -> Self {
         ReleaseProgress { holder: holder.cloned(), ..ReleaseProgress::default() }
     }
@@ -52,47 +52,51 @@
         self.holder.as_ref()
     }
 
-    /// Ends it: going on would do harm.
+    /// Stops the release: from now on it could release what a later attempt has left.
     pub fn stop(&self) {
         self.stopped.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Waits until it is ended.
+    /// Waits until the release is stopped. Cancel safe.
     pub async fn stopped(&self) {
-        self.until(&self.stopped).await;
+        self.wait_for(&self.stopped).await;
     }
 
-    /// Some worker has taken it.
+    /// Records that a worker has executed the release.
     pub fn set_done(&self) {
         self.done.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Waits until some worker has taken it.
+    /// Waits until a worker has executed the release. Cancel safe.
     pub async fn done(&self) {
-        self.until(&self.done).await;
+        self.wait_for(&self.done).await;
     }
 
-    async fn until(&self, flag: &Cell<bool>) {
+    /// On one thread nothing changes between the look at the flag and the registration of the waiter.
+    async fn wait_for(&self, flag: &Cell<bool>) {
         while !flag.get() {
             self.changed.notified().await;
         }
     }
 }
 
-/// What the client side does for the core. Nothing here waits; results come back as [`DriverInput`](super::DriverInput).
+/// The calls that the driver makes through the upstream client. None of them waits: their results come back as
+/// [`DriverInput`](super::DriverInput).
 pub trait Outbound {
-    /// Sends a request. Answered by one [`super::DriverInput::AttemptEnded`].
+    /// Sends a request to a worker. Answered by exactly one
+    /// [`DriverInput::AttemptEnded`](super::DriverInput::AttemptEnded).
     fn send(&self, attempt: Attempt);
-    /// Lets go of all that is held for a request, at whichever worker; stops trying when told.
-    fn release_cache(&self, call: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>);
-    /// Asks a writer to hold a place. Answered by [`super::DriverInput::SlotReserved`] if the writer can be heard.
-    fn reserve_slot(&self, request: RequestId, call: Rc<ForwardedRequest>, worker: WorkerId);
-    /// Probes a worker. Answered by [`super::DriverInput::HealthChecked`].
+    /// Releases the KV cache that is held for a request, at whichever worker holds it, until the progress is stopped.
+    fn release_cache(&self, forwarded: Rc<ForwardedRequest>, progress: Rc<ReleaseProgress>);
+    /// Asks a decode worker to reserve a slot. Answered by
+    /// [`DriverInput::SlotReserved`](super::DriverInput::SlotReserved) if the worker responds.
+    fn reserve_slot(&self, request: RequestId, forwarded: Rc<ForwardedRequest>, worker: WorkerId);
+    /// Checks a worker's health. Answered by [`DriverInput::HealthChecked`](super::DriverInput::HealthChecked).
     fn check_health(&self, worker: WorkerId);
-    /// Closes idle connections.
+    /// Closes idle connections to a worker.
     fn close_idle_connections(&self, worker: &WorkerId);
-    /// Asks discovery once for the whole list.
+    /// Polls discovery once for the complete endpoint list.
     fn poll_endpoints(&self);
 }
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -1,4 +1,4 @@
-//! The driver between a policy and a client side that only notes what it is asked.
+//! A driver between a policy and an upstream client that only records the calls made through it.
 #![allow(dead_code)]
 
 use llm_router::interface::*;
@@ -8,20 +8,19 @@
 use std::rc::Rc;
 use tokio::sync::oneshot::error::TryRecvError;
 
-/// What the client side was asked.
+/// An upstream client that records its calls and answers none of them.
 #[derive(Default)]
-pub struct Notes {
+pub struct RecordingUpstream {
     pub attempts: RefCell<Vec<Attempt>>,
-    /// Releases.
     pub releases: RefCell<Vec<Rc<ReleaseProgress>>>,
 }
 
-impl Outbound for Notes {
+impl Outbound for RecordingUpstream {
     fn send(&self, attempt: Attempt) {
         self.attempts.borrow_mut().push(attempt);
     }
-    fn release_cache(&self, _: Rc<ForwardedRequest>, releasing: Rc<ReleaseProgress>) {
-        self.releases.borrow_mut().push(releasing);
+    fn release_cache(&self, _: Rc<ForwardedRequest>, progress: Rc<ReleaseProgress>) {
+        self.releases.borrow_mut().push(progress);
     }
     fn reserve_slot(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
     fn check_health(&self, _: WorkerId) {}
@@ -33,7 +32,7 @@
     let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: None };
     Settings {
         replica_count: 1,
-        worker_kinds: vec![kind("r", Role::Prefill), kind("w", Role::Decode)],
+        worker_kinds: vec![kind("prefill", Role::Prefill), kind("decode", Role::Decode)],
         classes: vec![Class { name: "safe".into(), first_token_objective: 1_000_000, ..Class::default() }],
         max_attempts: 4,
         connect_timeout: 250_000,
@@ -43,20 +42,20 @@
     }
 }
 
-/// A driver with a request of which an attempt is out.
+/// A driver with a request of which an attempt is in flight.
 pub struct DriverHarness {
-    pub notes: Rc<Notes>,
+    pub upstream: Rc<RecordingUpstream>,
     pub client: PendingResponse,
-    /// The driver runs for as long as there is one.
+    /// The driver runs for as long as there is a handle.
     pub handle: DriverHandle,
 }
 
 impl DriverHarness {
-    pub async fn start(settings: Settings, time: Micros) -> DriverHarness {
-        let (notes, clock) = (Rc::new(Notes::default()), Clock::start());
-        let (handle, queue) = DriverHandle::channel(clock);
-        let driver = Driver::new(settings, 1, clock, notes.clone(), Rc::default());
-        let entries = ["r", "w"].map(|kind| Endpoint {
+    pub async fn start(settings: Settings, client_timeout: Micros) -> DriverHarness {
+        let (upstream, clock) = (Rc::new(RecordingUpstream::default()), Clock::start());
+        let (handle, inputs) = DriverHandle::channel(clock);
+        let driver = Driver::new(settings, 1, clock, upstream.clone(), Rc::default());
+        let endpoints = ["prefill", "decode"].map(|kind| Endpoint {
             worker: WorkerId(kind.into()),
             zone: String::new(),
             kind: kind.into(),
@@ -67,23 +66,23 @@
         });
         handle.submit(DriverInput::EndpointsUpdated {
             kind: UpdateKind::Restored,
-            endpoints: entries.to_vec(),
+            endpoints: endpoints.to_vec(),
         });
-        tokio::task::spawn_local(driver.run(queue));
-        let client = handle.submit_request(ask(clock.now() + time), call());
-        while notes.attempts.borrow().is_empty() {
+        tokio::task::spawn_local(driver.run(inputs));
+        let client = handle.submit_request(request_spec(clock.now() + client_timeout), forwarded_request());
+        while upstream.attempts.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
-        DriverHarness { notes, client, handle }
+        DriverHarness { upstream, client, handle }
     }
 
-    /// What the attempt that is out was told.
+    /// How the first attempt was cancelled: `Empty` if it was not, `Closed` if it was.
     pub fn cancelled(&self) -> TryRecvError {
-        self.notes.attempts.borrow_mut()[0].cancelled.try_recv().unwrap_err()
+        self.upstream.attempts.borrow_mut()[0].cancelled.try_recv().unwrap_err()
     }
 }
 
-pub fn ask(deadline: Micros) -> RequestSpec {
+pub fn request_spec(deadline: Micros) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
         deadline,
@@ -98,7 +97,7 @@
     }
 }
 
-pub fn call() -> ForwardedRequest {
+pub fn forwarded_request() -> ForwardedRequest {
     ForwardedRequest {
         id: "id-1".into(),
         target: String::new(),
@@ -109,7 +108,7 @@
     }
 }
 
-/// One thread: by then the driver has taken in all that it was told.
+/// Lets the driver handle all inputs that were submitted: everything runs on one thread.
 pub async fn settle() {
     for _ in 0..100 {
         tokio::task::yield_now().await;
