--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,6 +62,7 @@
 pub mod logging;
 pub mod net;
 pub mod policy;
+pub mod process;
 pub mod rules;
 pub mod runtime;
 pub mod simulator;
--- /dev/null
+++ b/src/process/router.rs
@@ -0,0 +1,189 @@
+//! The composition of a router: which parts there are, and what they share.
+
+use super::StartError;
+use super::shutdown::GracefulShutdown;
+use super::sockets::SocketBudget;
+use crate::config::Config;
+use crate::frontend::jsonrpc::JsonRpcService;
+use crate::frontend::service::{RequestService, ServiceContext};
+use crate::interface::UpdateKind;
+use crate::net::discovery::{Backoff, Directory, EndpointWatcher, dial_tcp};
+use crate::net::server::accept::{Listener, RESERVED_CONNECTIONS, ShutdownPhase};
+use crate::net::server::budget::Budget;
+use crate::net::server::connections::Connections;
+use crate::net::socket::listen;
+use crate::net::upstream::client::UpstreamClient;
+use crate::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
+use crate::runtime::counters::Counters;
+use crate::runtime::{Clock, Driver, DriverHandle};
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::{Notify, watch};
+use tokio::task::spawn_local;
+
+/// A shorter connect timeout in the settings, 0 where none is stated, is raised to this.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(10);
+
+/// Unit of the configured memory limit.
+const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
+/// Bodies of requests may take the memory limit divided by this.
+const BODY_MEMORY_DIVISOR: usize = 3;
+/// Pooled connections are kept for the time after which workers close idle ones, divided by this: a request must not cross
+/// such a close.
+const IDLE_TIME_DIVISOR: u32 = 3;
+
+/// A running router.
+pub(super) struct Router {
+    /// Counts what happens.
+    pub counters: Rc<Counters>,
+    /// Discovery's address, which the endpoint watcher follows.
+    pub discovery: Rc<watch::Sender<Option<SocketAddr>>>,
+    /// Ends it.
+    pub shutdown: GracefulShutdown,
+    pool: Pool,
+    tools: Option<Rc<JsonRpcService>>,
+}
+
+impl Router {
+    /// Makes the parts, connects them and starts their tasks. The listening socket is opened first: a router that can't listen
+    /// starts nothing.
+    ///
+    /// The endpoints that the configuration knows are moved out of it.
+    ///
+    /// # Errors
+    /// The address can't be listened on, or there are too few sockets.
+    pub fn start(config: &mut Config) -> Result<Self, StartError> {
+        let (address, listener) = bind(config)?;
+        let counters = Rc::<Counters>::default();
+        let clock = Clock::start();
+        let (driver_handle, inputs) = DriverHandle::channel(clock);
+        let sockets = SocketBudget::divide(config)?;
+        let parts = SharedParts::new(config, sockets, driver_handle, counters.clone());
+
+        let upstream = Rc::new(parts.upstream_client(config));
+        let driver = Driver::new(config.settings.clone(), config.seed, clock, upstream, counters.clone());
+        let watcher = parts.endpoint_watcher(config);
+        watcher.take(std::mem::take(&mut config.known), UpdateKind::Restored);
+        spawn_local(driver.run(inputs));
+        let (discovery, discovery_address) = watch::channel(config.discovery);
+        spawn_local(watcher.follow(discovery_address));
+
+        let is_stopping = Rc::new(Cell::new(false));
+        let service = Rc::new(parts.service_context(config, is_stopping.clone()));
+        let tools = parts.tool_front(config, &service);
+        let (phase, phases) = watch::channel(ShutdownPhase::Open);
+        let connections = Rc::new(Connections::default());
+        let max_connections = sockets.clients - RESERVED_CONNECTIONS;
+        let accept = Listener {
+            service: RequestService { shared: service.clone(), tools: tools.clone() },
+            bound: max_connections,
+            waiting: max_connections,
+            stage: phases,
+            open: connections.clone(),
+        };
+        let accept_task = spawn_local(accept.accept(listener));
+        log::info!(
+            "{} serves on {address}, {} sockets for clients and {} for workers",
+            config.name,
+            sockets.clients,
+            sockets.upstream
+        );
+        Ok(Router {
+            counters,
+            discovery: Rc::new(discovery),
+            shutdown: GracefulShutdown { is_stopping, phase, accept_task, connections, service },
+            pool: parts.pool,
+            tools,
+        })
+    }
+
+    /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that have expired.
+    pub fn evict_expired(&self) {
+        self.pool.retire();
+        if let Some(tools) = &self.tools {
+            tools.tidy();
+        }
+    }
+}
+
+fn bind(config: &Config) -> Result<(SocketAddr, TcpListener), StartError> {
+    let listener = listen(config.listen, config.limits.sockets);
+    let bound = listener.and_then(|listener| Ok((listener.local_addr()?, listener)));
+    bound.map_err(|source| StartError::Listen { address: config.listen, source })
+}
+
+/// What several parts of a router share.
+struct SharedParts {
+    connect_timeout: Duration,
+    counters: Rc<Counters>,
+    directory: Rc<Directory>,
+    driver: DriverHandle,
+    poll_requested: Rc<Notify>,
+    pool: Pool,
+}
+
+impl SharedParts {
+    fn new(config: &Config, sockets: SocketBudget, driver: DriverHandle, counters: Rc<Counters>) -> Self {
+        let connect_timeout = Duration::from_micros(config.settings.connect_timeout);
+        let connect_timeout = connect_timeout.max(MIN_CONNECT_TIMEOUT);
+        let limits = PoolLimits {
+            sockets: sockets.upstream,
+            connect_timeout,
+            keep: config.idle_close / IDLE_TIME_DIVISOR,
+            rest: TRAILING_BYTES_WAIT,
+        };
+        SharedParts {
+            connect_timeout,
+            directory: Rc::default(),
+            driver,
+            poll_requested: Rc::default(),
+            pool: Pool::new(limits, counters.clone()),
+            counters,
+        }
+    }
+
+    fn upstream_client(&self, config: &Config) -> UpstreamClient {
+        UpstreamClient {
+            directory: self.directory.clone(),
+            pool: self.pool.clone(),
+            driver: self.driver.clone(),
+            reports: config.settings.load_reporting,
+            counters: self.counters.clone(),
+            poll_requested: self.poll_requested.clone(),
+        }
+    }
+
+    fn endpoint_watcher(&self, config: &Config) -> EndpointWatcher {
+        let pool = self.pool.clone();
+        EndpointWatcher {
+            directory: self.directory.clone(),
+            driver: self.driver.clone(),
+            close_idle_connections: Box::new(move |worker| pool.close_idle_connections(worker)),
+            poll_requested: self.poll_requested.clone(),
+            dial: dial_tcp(),
+            pace: Backoff::new(&config.settings, config.seed),
+            agent_version: Cell::default(),
+            counters: self.counters.clone(),
+        }
+    }
+
+    fn service_context(&self, config: &Config, is_stopping: Rc<Cell<bool>>) -> ServiceContext {
+        let (directory, worker_kinds) = (self.directory.clone(), config.settings.worker_kinds.clone());
+        ServiceContext {
+            driver: self.driver.clone(),
+            classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
+            ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
+            counters: self.counters.clone(),
+            budget: Budget::new(config.limits.memory_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR),
+            ids: RefCell::default(),
+        }
+    }
+
+    fn tool_front(&self, config: &Config, service: &Rc<ServiceContext>) -> Option<Rc<JsonRpcService>> {
+        let settings = config.tools.clone()?;
+        Some(JsonRpcService::new(service.clone(), settings, self.connect_timeout, config.seed))
+    }
+}
