--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -1,83 +1,83 @@
-//! When a client's connection ends, and why.
+//! When a client's connection is closed, and why.
 
 use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request has this long to come whole, from its first byte and, the first on a connection, from the accept on.
-/// Progress doesn't renew it: half a head, half a body and a drip without end all hold a place.
+/// A request has this long to be received completely, from its first byte and, where it is the first of its connection, from
+/// the accept. Progress doesn't restart it: an incomplete head, an incomplete body and one byte at a time all occupy a slot.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// A client that has said nothing since it connected is let go after this.
+/// A connection on which nothing was received since its accept is closed after this.
 const SILENT_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// The same during a graceful shutdown: time for the request of a client that has just connected.
+/// The same in the closing phase of a graceful shutdown: time for the request of a client that has just connected.
 const SILENT_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_millis(500);
-/// One that was answered before may come again: a session's next turn, and this router knows where its text is kept. It
-/// is let go after this, or as soon as its place is wanted.
+/// A client that has had an answer may send the next request of its session, and this router knows which worker has the
+/// session's text cached. Its connection is closed after this, or as soon as its slot is needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A client that takes nothing of its answer for this long is gone.
+/// A client that reads nothing of its answer for this long is gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing of a next request has come since.
+    /// Nothing of a next request was received since then.
     Idle(Instant),
-    /// A request began to arrive then, and has not come whole.
+    /// A request began to arrive then, and is not complete.
     Arriving(Instant),
-    /// A request has come whole and waits for its answer.
+    /// A request was received completely and waits for its answer.
     InHand,
-    /// A stream is passed on.
+    /// A stream is being passed on.
     Streaming,
-    /// Its sending side was shut down then, and the client has not closed yet.
+    /// The router shut down its sending side then, and the client has not closed yet.
     Closing(Instant),
 }
 
-/// Whether a connection's place is wanted for others.
+/// Whether a connection's slot is needed for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eviction {
-    /// It may stay.
+    /// It is not.
     None,
-    /// It ends in order.
+    /// It is, and there is time for the client to close first.
     Soon,
-    /// There is no time for its client to close first.
+    /// It is, at once.
     AtOnce,
 }
 
-/// A connection at the moment in which its end is decided on.
+/// A connection at the moment in which its close is decided on.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionFacts {
     /// What it is doing.
     pub phase: Phase,
     /// When it was accepted.
     pub accepted: Instant,
-    /// Whether anything was ever answered on it.
+    /// Whether a request was ever answered on it.
     pub has_answered: bool,
-    /// Whether bytes wait that the client does not take.
+    /// Whether there are bytes to write that the client does not read.
     pub is_write_blocked: bool,
-    /// Whether its place is wanted for others.
+    /// Whether its slot is needed for others.
     pub eviction: Eviction,
-    /// Whether a graceful shutdown has come to its closing stage.
+    /// Whether a graceful shutdown is in its closing phase.
     pub is_closing_stage: bool,
 }
 
-/// Why a connection ends.
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// HTTP says so: its last answer was given, or its client closed first.
+    /// HTTP ends it: its last answer was given, or its client closed first.
     ByHttp,
-    /// What came can't be read.
+    /// What was received is no valid HTTP.
     Unreadable,
-    /// Nothing came for too long.
+    /// Nothing was received for too long.
     Idle,
-    /// Its place is wanted for others.
+    /// Its slot is needed for others.
     Evicted,
     /// The process is about to end.
     Shutdown,
-    /// A request did not come whole in time.
+    /// A request was not complete in time.
     RequestOverdue,
-    /// Its client takes nothing of its answer.
+    /// Its client reads nothing of its answer.
     WriteBlocked,
-    /// Its client has left in the middle of a stream.
+    /// Its client disconnected in the middle of a stream.
     ClientLeft,
 }
 
@@ -96,7 +96,8 @@
     }
 }
 
-/// When a connection ends as it stands, and why; `None` while a request is in hand, or is being answered.
+/// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it, and while it is
+/// being closed already.
 pub fn close_due(connection: &ConnectionFacts) -> Option<(Instant, CloseReason)> {
     let ConnectionFacts { accepted, has_answered, is_closing_stage, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
@@ -120,14 +121,14 @@
     }
 }
 
-/// Whether a connection is between two requests with its last answer written out: a closing stage ends it at once, since a
-/// request that comes while a timer runs out would have to be taken.
+/// Whether a connection is between two requests with its last answer written out. The closing phase of a graceful shutdown
+/// closes it at once: a request that arrived while a timer runs out would have to be accepted.
 pub fn is_at_rest(connection: &ConnectionFacts) -> bool {
     matches!(connection.phase, Phase::Idle(_)) && connection.has_answered && !connection.is_write_blocked
 }
 
-/// Whether a connection may be closed whose time has come: not while a request is in hand, nor over bytes that have not
-/// been read, which would be a request.
+/// Whether a connection that is due may be closed at this moment: not while a request is in flight on it, nor while there are
+/// unread bytes, which would be a request.
 pub fn may_close(phase: Phase, has_unread: bool) -> bool {
     match phase {
         Phase::InHand | Phase::Streaming | Phase::Closing(_) => false,
--- a/src/rules/idempotency.rs
+++ b/src/rules/idempotency.rs
@@ -1,4 +1,4 @@
-//! What may be repeated, and what may be refused.
+//! Which requests may be repeated, and which may be rejected.
 
 use crate::interface::{DeduplicationScope, Idempotency, Micros};
 
@@ -7,27 +7,39 @@
 pub struct EarlierAttempt {
     /// When it was sent.
     pub sent: Micros,
-    /// Whether its worker and the one in question recognize each other's repeats.
+    /// Whether its worker and the one in question are in one deduplication scope.
     pub same_scope: bool,
 }
 
-/// Until when a request may arrive at a worker again, after attempts that may have had an effect; `None`: never.
+/// Before when a repeat has to arrive at a worker, given the earlier attempts that may have had an effect;
+/// [`Micros::MAX`]: at any time, `None`: never.
+///
+/// With an idempotency key, the deduplication window of each earlier attempt counts, and one outside the scope of the
+/// worker in question rules a repeat there out.
 pub fn retry_before(
-    effect: Idempotency,
-    window: Micros,
-    earlier: impl Iterator<Item = EarlierAttempt>,
+    idempotency: Idempotency,
+    deduplication_window: Micros,
+    mut earlier: impl Iterator<Item = EarlierAttempt>,
 ) -> Option<Micros> {
-    match effect {
+    match idempotency {
         Idempotency::Idempotent => Some(Micros::MAX),
-        Idempotency::NonIdempotent => earlier.count().eq(&0).then_some(Micros::MAX),
+        Idempotency::NonIdempotent => earlier.next().is_none().then_some(Micros::MAX),
         Idempotency::Keyed(_) => {
-            let ends = earlier.map(|attempt| attempt.same_scope.then(|| attempt.sent.saturating_add(window)));
-            ends.min().unwrap_or(Some(Micros::MAX))
+            let window_ends = earlier
+                .map(|attempt| attempt.same_scope.then(|| attempt.sent.saturating_add(deduplication_window)));
+            // `None` is less than any time: one attempt outside the scope decides.
+            window_ends.min().unwrap_or(Some(Micros::MAX))
         }
     }
 }
 
-/// Whether a refusal's promise would be kept: trying again does no harm.
-pub fn is_rejection_harmless(effect: Idempotency, may_have_run: bool) -> bool {
-    matches!(effect, Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All)) || !may_have_run
+/// Whether a request may be rejected, which promises the client that a retry is harmless.
+pub fn is_rejection_harmless(idempotency: Idempotency, may_have_run: bool) -> bool {
+    let is_retry_harmless = match idempotency {
+        Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All) => true,
+        // A retry may reach a worker outside the scope in which the first attempt is recognized.
+        Idempotency::Keyed(DeduplicationScope::Zone | DeduplicationScope::Cell) => false,
+        Idempotency::NonIdempotent => false,
+    };
+    is_retry_harmless || !may_have_run
 }
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,9 +1,10 @@
-//! The promises that the router keeps, each decided on in one place, and checked while it runs.
+//! The invariants that the router keeps: each is decided in one place and checked while the router runs.
 //!
-//! Whether an attempt may be made or written is decided in [`send`], whether a request may be repeated or refused in
-//! [`idempotency`], and when a client's connection may end in [`close`]. These are functions of plain facts: whoever is about to
-//! act gathers the facts of that moment and asks. Where two parts of the program have to agree, the driver asks again
-//! behind the policy, and what it finds broken is counted in [`Violations`] and not done.
+//! [`send`] decides whether an attempt may be made and whether it may be written, [`idempotency`] whether a request may be
+//! repeated or rejected, and [`close`] when a client's connection may end. All of these are functions of plain facts:
+//! whoever is about to act collects the facts of that moment and asks. Where two parts of the program have to agree, the
+//! driver asks again after the policy, and an action that would break an invariant is counted in [`Violations`] and not
+//! executed.
 
 pub mod close;
 pub mod idempotency;
@@ -12,55 +13,55 @@
 use std::cell::Cell;
 use std::fmt;
 
-/// A promise that is checked at run time.
+/// An invariant that is checked at run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
-    /// A request has one attempt out at a time.
-    OneAttemptOut,
+pub enum Invariant {
+    /// A request has one attempt in flight at a time, unless hedging is allowed.
+    OneAttemptInFlight,
     /// A request has no more attempts than the settings allow.
     AttemptLimit,
     /// Nothing is sent for a request that has its final answer.
     NothingAfterAnswer,
-    /// What must not run twice is not sent twice.
-    EffectOnce,
-    /// A refusal promises that trying again is harmless.
-    HonestRefusal,
-    /// Each request has its final answer within the slack behind its deadline.
+    /// A request that is not idempotent does not run twice.
+    AtMostOnce,
+    /// A request is only rejected if retrying it is harmless.
+    HarmlessRejection,
+    /// Each request has its final answer within the tolerance after its deadline.
     AnswerInTime,
-    /// Nothing is held for a request that is over.
-    NothingLeftBehind,
+    /// No KV cache is held for a request that is over.
+    CacheReleased,
 }
 
-impl Rule {
-    const ALL: [Rule; 7] = [
-        Rule::OneAttemptOut,
-        Rule::AttemptLimit,
-        Rule::NothingAfterAnswer,
-        Rule::EffectOnce,
-        Rule::HonestRefusal,
-        Rule::AnswerInTime,
-        Rule::NothingLeftBehind,
+impl Invariant {
+    const ALL: [Invariant; 7] = [
+        Invariant::OneAttemptInFlight,
+        Invariant::AttemptLimit,
+        Invariant::NothingAfterAnswer,
+        Invariant::AtMostOnce,
+        Invariant::HarmlessRejection,
+        Invariant::AnswerInTime,
+        Invariant::CacheReleased,
     ];
 }
 
-/// How often each promise was found broken, or would have been.
+/// How often each invariant was found broken, or would have been.
 #[derive(Debug, Default)]
-pub struct Violations([Cell<u64>; Rule::ALL.len()]);
+pub struct Violations([Cell<u64>; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts a violation and logs the request that it is about.
-    pub fn note(&self, rule: Rule, request: &str, detail: impl fmt::Display) {
-        self.0[rule as usize].set(self.count(rule) + 1);
-        log::error!("violation: {rule:?}, request {request}: {detail}");
+    /// Counts a violation and logs it with the request that it concerns. Monitoring looks for the prefix of the line.
+    pub fn record(&self, invariant: Invariant, request: &str, detail: impl fmt::Display) {
+        self.0[invariant as usize].set(self.count(invariant) + 1);
+        log::error!("violation: {invariant:?}, request {request}: {detail}");
     }
 
-    /// How often a promise was found broken.
-    pub fn count(&self, rule: Rule) -> u64 {
-        self.0[rule as usize].get()
+    /// How often an invariant was found broken.
+    pub fn count(&self, invariant: Invariant) -> u64 {
+        self.0[invariant as usize].get()
     }
 
-    /// All of them together.
+    /// The violations of all invariants together.
     pub fn total(&self) -> u64 {
-        Rule::ALL.iter().map(|rule| self.count(*rule)).sum()
+        Invariant::ALL.iter().map(|invariant| self.count(*invariant)).sum()
     }
 }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -1,6 +1,6 @@
 //! Whether an attempt may be made, and whether it may be written.
 
-use super::Rule;
+use super::Invariant;
 use crate::interface::{Idempotency, Micros, Outcome};
 use std::fmt;
 
@@ -9,52 +9,52 @@
 pub struct RequestFacts {
     /// Whether it has its final answer.
     pub is_answered: bool,
-    /// Attempts so far.
+    /// How many attempts there have been.
     pub attempts: usize,
-    /// Attempts allowed.
+    /// How many attempts are allowed.
     pub max_attempts: usize,
-    /// Attempts that are out.
-    pub attempts_out: usize,
-    /// Whether more than one may be out.
+    /// How many attempts are in flight.
+    pub attempts_in_flight: usize,
+    /// Whether more than one may be in flight.
     pub hedging_allowed: bool,
-    /// What a repeat does.
-    pub effect: Idempotency,
+    /// Whether it may run more than once.
+    pub idempotency: Idempotency,
     /// Whether an earlier attempt may have had an effect.
     pub may_have_run: bool,
 }
 
-/// Whether an attempt may be made for a request.
+/// Whether another attempt may be made for a request.
 ///
 /// # Errors
-/// The promise that it would break.
-pub fn may_attempt(request: &RequestFacts) -> Result<(), Rule> {
+/// The invariant that the attempt would break.
+pub fn may_attempt(request: &RequestFacts) -> Result<(), Invariant> {
     if request.is_answered {
-        return Err(Rule::NothingAfterAnswer);
+        return Err(Invariant::NothingAfterAnswer);
     }
-    if request.attempts_out > 0 && !request.hedging_allowed {
-        return Err(Rule::OneAttemptOut);
+    if request.attempts_in_flight > 0 && !request.hedging_allowed {
+        return Err(Invariant::OneAttemptInFlight);
     }
     if request.attempts >= request.max_attempts {
-        return Err(Rule::AttemptLimit);
+        return Err(Invariant::AttemptLimit);
     }
-    if request.effect == Idempotency::NonIdempotent && request.may_have_run {
-        return Err(Rule::EffectOnce);
+    if request.idempotency == Idempotency::NonIdempotent && request.may_have_run {
+        return Err(Invariant::AtMostOnce);
     }
     Ok(())
 }
 
-/// An attempt at the moment in which bytes of it are written.
+/// An attempt at the moment in which bytes of it are about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
     /// Whether its request still waits for its final answer.
     pub is_open: bool,
-    /// Whether its client has left.
+    /// Whether its client has disconnected.
     pub client_left: bool,
-    /// Now.
+    /// The present time.
     pub now: Micros,
-    /// When its time is up.
+    /// When the attempt times out.
     pub until: Micros,
-    /// It may only begin before this.
+    /// The attempt may only begin before this.
     pub begin_before: Option<Micros>,
     /// Whether its worker is in service.
     pub worker_is_ready: bool,
@@ -63,15 +63,15 @@
 /// Why an attempt may not begin, or not go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withheld {
-    /// Its request has been answered.
+    /// Its request has its final answer.
     Answered,
-    /// Its client has left.
+    /// Its client has disconnected.
     ClientLeft,
-    /// Its time is up.
+    /// It has timed out.
     TimeUp,
     /// Workers would not recognize it as a repeat any more.
     WindowOver,
-    /// Its worker drains or is gone.
+    /// Its worker is draining or removed.
     WorkerWithdrawn,
 }
 
@@ -90,10 +90,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Withheld::Answered => "its request has been answered",
-            Withheld::ClientLeft => "its client has left",
-            Withheld::TimeUp => "its time is up",
-            Withheld::WindowOver => "the window for repeats is over",
-            Withheld::WorkerWithdrawn => "its worker drains or is gone",
+            Withheld::ClientLeft => "its client has disconnected",
+            Withheld::TimeUp => "it has timed out",
+            Withheld::WindowOver => "the deduplication window is over",
+            Withheld::WorkerWithdrawn => "its worker is draining or removed",
         })
     }
 }
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -137,9 +137,9 @@
             is_answered: self.is_answered(),
             attempts: self.attempts.len(),
             max_attempts: settings.max_attempts as usize,
-            attempts_out: self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count(),
+            attempts_in_flight: self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count(),
             hedging_allowed: settings.hedging_allowed,
-            effect: self.idempotency,
+            idempotency: self.idempotency,
             may_have_run: self.may_have_run(),
         }
     }
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -5,7 +5,7 @@
 
 use super::Driver;
 use crate::interface::{Action, AttemptIndex, EndReason, Micros, RequestId, WorkerId};
-use crate::rules::Rule;
+use crate::rules::Invariant;
 use crate::rules::send::may_attempt;
 use crate::runtime::active_request::AttemptOrder;
 use crate::runtime::timers::TimerEntry;
@@ -39,9 +39,9 @@
     fn send(&mut self, request: RequestId, order: AttemptOrder) {
         let now = self.clock.now();
         let Some(active) = self.requests.get_mut(request) else { return };
-        if let Err(rule) = may_attempt(&active.facts(&self.settings)) {
+        if let Err(invariant) = may_attempt(&active.facts(&self.settings)) {
             let detail = format!("not sent to {}", order.worker.0);
-            self.counters.violations.note(rule, active.id(), detail);
+            self.counters.violations.record(invariant, active.id(), detail);
             return;
         }
         let attempt = active.start_attempt(order, now);
@@ -53,7 +53,7 @@
         let Some(active) = self.requests.get_mut(request) else { return };
         if !active.is_answered() && !active.is_rejection_harmless() {
             let detail = format!("failed instead of rejected ({reason:?})");
-            self.counters.violations.note(Rule::HonestRefusal, active.id(), detail);
+            self.counters.violations.record(Invariant::HarmlessRejection, active.id(), detail);
             return self.fail(request, reason);
         }
         let Some(responder) = active.take_responder() else { return };
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::interface::{Event, Micros, RequestId};
-use crate::rules::Rule;
+use crate::rules::Invariant;
 use crate::runtime::timers::TimerEntry;
 
 /// Why the driver ends a request without a decision of the policy.
@@ -21,7 +21,7 @@
             return;
         };
         let detail = "no decision by its deadline, ended by the driver";
-        self.counters.violations.note(Rule::AnswerInTime, active.id(), detail);
+        self.counters.violations.record(Invariant::AnswerInTime, active.id(), detail);
         active.cancel_all();
         self.release_cache(request);
         self.end_request(request, DriverEndReason::AnswerDeadlineExceeded);
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -15,7 +15,7 @@
 use super::timers::{TimerEntry, TimerQueue};
 use crate::interface::{Action, Event, RequestId, Settings};
 use crate::policy::Policy;
-use crate::rules::Rule;
+use crate::rules::Invariant;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -118,7 +118,7 @@
         let Some(finished) = self.requests.remove_if_finished(request) else { return };
         if finished.holds_cache() {
             let detail = "a KV cache is held for a request that is over";
-            self.counters.violations.note(Rule::NothingLeftBehind, finished.id(), detail);
+            self.counters.violations.record(Invariant::CacheReleased, finished.id(), detail);
             self.outbound.release_cache(finished.forwarded(), Rc::default());
         }
     }
