--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -66,10 +66,10 @@
         let upstream = Rc::new(parts.upstream_client(config));
         let driver = Driver::new(config.settings.clone(), config.seed, clock, upstream, counters.clone());
         let watcher = parts.endpoint_watcher(config);
-        watcher.take(std::mem::take(&mut config.known), UpdateKind::Restored);
+        watcher.apply(std::mem::take(&mut config.known), UpdateKind::Restored);
         spawn_local(driver.run(inputs));
         let (discovery, discovery_address) = watch::channel(config.discovery);
-        spawn_local(watcher.follow(discovery_address));
+        spawn_local(watcher.run(discovery_address));
 
         let is_stopping = Rc::new(Cell::new(false));
         let service = Rc::new(parts.service_context(config, is_stopping.clone()));
@@ -164,8 +164,7 @@
             close_idle_connections: Box::new(move |worker| pool.close_idle_connections(worker)),
             poll_requested: self.poll_requested.clone(),
             dial: dial_tcp(),
-            pace: Backoff::new(&config.settings, config.seed),
-            agent_version: Cell::default(),
+            backoff: Backoff::new(&config.settings, config.seed),
             counters: self.counters.clone(),
         }
     }
