--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -21,7 +21,7 @@
         let DriverHarness { upstream, client, handle: _handle } = driver;
         upstream.attempts.borrow()[0].begun.set(begun);
         drop(client);
-        settle().await;
+        run_pending_tasks().await;
         assert_eq!(upstream.attempts.borrow_mut()[0].cancelled.try_recv(), Err(expected));
         assert!(!upstream.attempts.borrow()[0].state.is_open());
         assert_eq!(upstream.attempts.borrow().len(), 1);
@@ -44,7 +44,7 @@
         let DriverHarness { upstream, client, handle: _handle } = driver;
         assert!(matches!(client.answer().await.0, FinalResponse::Rejected { .. }));
         assert!(!state.is_open());
-        settle().await;
+        run_pending_tasks().await;
         assert_eq!(upstream.attempts.borrow_mut()[0].cancelled.try_recv(), Err(TryRecvError::Closed));
     };
     tokio::task::LocalSet::new().run_until(scenario).await;
--- a/tests/driver_held_cache.rs
+++ b/tests/driver_held_cache.rs
@@ -37,7 +37,7 @@
 
     async fn end_attempt(&self, attempt: u32, outcome: Outcome) {
         self.handle.submit(attempt_ended(attempt, outcome));
-        settle().await;
+        run_pending_tasks().await;
     }
 
     fn attempts(&self) -> usize {
@@ -51,7 +51,7 @@
 
 async fn advance_ms(milliseconds: u64) {
     sleep(Duration::from_millis(milliseconds)).await;
-    settle().await;
+    run_pending_tasks().await;
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -12,19 +12,36 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A decode worker that streams one answer, and waits after the first event until it is told to go on.
-fn paused_decode_worker(started: mpsc::Sender<()>) -> (Peer, mpsc::Sender<()>) {
-    let (go_on, gate) = mpsc::channel::<()>();
-    let (started, gate) = (Mutex::new(started), Mutex::new(gate));
-    let worker = Peer::start(move |_, conn| {
-        conn.begin_stream();
-        conn.delta("one");
-        started.lock().unwrap().send(()).unwrap();
-        let _ = gate.lock().unwrap().recv();
-        conn.end_stream();
-        true
-    });
-    (worker, go_on)
+/// A router with a client whose request is being streamed: the decode worker has sent the first event, and waits.
+struct PausedStream {
+    client: BufReader<std::net::TcpStream>,
+    router: RouterProcess,
+    /// Lets the decode worker end the stream.
+    go_on: mpsc::Sender<()>,
+    _workers: [Peer; 2],
+}
+
+impl PausedStream {
+    fn start() -> PausedStream {
+        let (started, starts) = mpsc::channel();
+        let (go_on, gate) = mpsc::channel::<()>();
+        let (started, gate) = (Mutex::new(started), Mutex::new(gate));
+        let decode_worker = Peer::start(move |_, conn| {
+            conn.begin_stream();
+            conn.delta("one");
+            started.lock().unwrap().send(()).unwrap();
+            let _ = gate.lock().unwrap().recv();
+            conn.end_stream();
+            true
+        });
+        let workers = [Peer::prefill_worker(), decode_worker];
+        let file = operator_file(&[workers[0].address], &[workers[1].address], "");
+        let router = RouterProcess::start(&file);
+        let mut client = BufReader::new(router.connect());
+        client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+        starts.recv().unwrap();
+        PausedStream { client, router, go_on, _workers: workers }
+    }
 }
 
 /// Guards against a request lost because it was received in part when the closing phase began: it is rejected, since the process
@@ -91,13 +108,7 @@
 /// Guards against a request lost with the close: one that had arrived after the streaming one is rejected.
 #[test]
 fn a_request_pipelined_after_a_streaming_one_is_rejected_after_it() {
-    let (prefill_worker, (started, starts)) = (Peer::prefill_worker(), mpsc::channel());
-    let (decode_worker, go_on) = paused_decode_worker(started);
-    let file = operator_file(&[prefill_worker.address], &[decode_worker.address], "");
-    let router = RouterProcess::start(&file);
-    let mut client = BufReader::new(router.connect());
-    client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    starts.recv().unwrap();
+    let PausedStream { mut client, router, go_on, _workers } = PausedStream::start();
     client.fill_buf().unwrap();
     client.get_mut().write_all(request("id-2", "send", "hello").as_bytes()).unwrap();
     router.signal("-TERM");
@@ -113,13 +124,7 @@
 /// Guards against a second signal that ends the process while a request is in flight.
 #[test]
 fn a_second_sigterm_does_not_cut_a_stream_off() {
-    let (prefill_worker, (started, starts)) = (Peer::prefill_worker(), mpsc::channel());
-    let (decode_worker, go_on) = paused_decode_worker(started);
-    let file = operator_file(&[prefill_worker.address], &[decode_worker.address], "");
-    let router = RouterProcess::start(&file);
-    let mut client = BufReader::new(router.connect());
-    client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    starts.recv().unwrap();
+    let PausedStream { mut client, router, go_on, _workers } = PausedStream::start();
     for _ in 0..2 {
         router.signal("-TERM");
     }
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -108,8 +108,8 @@
     }
 }
 
-/// Lets the driver handle all inputs that were submitted: everything runs on one thread.
-pub async fn settle() {
+/// Lets all tasks run that can; everything is on one thread. By then the driver has handled the inputs that were submitted.
+pub async fn run_pending_tasks() {
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
