--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log. Lines are written to standard error by a thread of their own: a reader that is too slow costs lines and never
-//! delays the router.
+//! The log. Lines are written to standard error by a thread of their own: a reader that is too slow costs
+//! lines and never delays the router.
 
 use env_logger::{Builder, Env, Target};
 use std::cell::Cell;
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,7 +1,7 @@
 //! The router as a process: composition, signals, reload and graceful shutdown.
 //!
-//! [`serve`] runs a router until SIGTERM or SIGINT. Its parts are made in the module `router`, which is the one place that
-//! knows all of them.
+//! [`serve`] runs a router until SIGTERM or SIGINT. Its parts are made in the module `router`, which is the
+//! one place that knows all of them.
 
 mod error;
 mod reload;
@@ -25,7 +25,8 @@
 /// How often connections and outcomes that are kept for later use are searched for expired ones.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until the process is told to stop, and then shuts down gracefully. Blocks the thread: a router runs on one.
+/// Serves until the process is told to stop, and then shuts down gracefully. Blocks the thread: a router runs
+/// on one.
 ///
 /// # Errors
 /// The router could not be started. Once it serves, nothing ends it but a signal.
@@ -46,8 +47,8 @@
     shutdown.begin();
     let finished = shutdown.finish();
     tokio::pin!(finished);
-    // The requests in flight may take long: the endpoint list has to follow discovery meanwhile. Any other signal is ignored;
-    // a second SIGTERM must not cut them off.
+    // The requests in flight may take long: the endpoint list has to follow discovery meanwhile. Any other
+    // signal is ignored; a second SIGTERM must not cut them off.
     loop {
         tokio::select! {
             () = &mut finished => break,
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Loads the configuration again when asked. Only discovery's address takes effect; everything else stays as it was at
-/// the start. A configuration that can't be loaded changes nothing.
+/// Loads the configuration again when asked. Only discovery's address takes effect; everything else stays as
+/// it was at the start. A configuration that can't be loaded changes nothing.
 pub(super) struct Reloader {
     source: ConfigSource,
     /// The configuration in force.
@@ -19,7 +19,8 @@
 }
 
 impl Reloader {
-    /// A reloader for a router that was started with a configuration. Changes of discovery's address go to `discovery`.
+    /// A reloader for a router that was started with a configuration. Changes of discovery's address go to
+    /// `discovery`.
     pub fn new(
         source: ConfigSource,
         config: Config,
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -31,8 +31,8 @@
 const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
 /// Bodies of requests may take the memory limit divided by this.
 const BODY_MEMORY_DIVISOR: usize = 3;
-/// Pooled connections are kept for the time after which workers close idle ones, divided by this: a request must not cross
-/// such a close.
+/// Pooled connections are kept for the time after which workers close idle ones, divided by this: a request
+/// must not cross such a close.
 const IDLE_TIME_DIVISOR: u32 = 3;
 
 /// A running router.
@@ -48,8 +48,8 @@
 }
 
 impl Router {
-    /// Makes the parts, connects them and starts their tasks. The listening socket is opened first: a router that can't listen
-    /// starts nothing.
+    /// Makes the parts, connects them and starts their tasks. The listening socket is opened first: a router
+    /// that can't listen starts nothing.
     ///
     /// The endpoints that the configuration knows are moved out of it.
     ///
@@ -100,7 +100,8 @@
         })
     }
 
-    /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that have expired.
+    /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that
+    /// have expired.
     pub fn evict_expired(&self) {
         self.pool.retire();
         if let Some(tools) = &self.tools {
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: every request that was received gets its final answer, and every held KV cache is released.
+//! Graceful shutdown: every request that was received gets its final answer, and every held KV cache is
+//! released.
 
 use crate::frontend::service::ServiceContext;
 use crate::net::server::accept::ShutdownPhase;
@@ -9,7 +10,8 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long connections are still accepted after SIGTERM. Clients keep connecting for up to 0.4 s after it; this is longer.
+/// How long connections are still accepted after SIGTERM. Clients keep connecting for up to 0.4 s after it;
+/// this is longer.
 const ACCEPT_TIME: Duration = Duration::from_millis(700);
 /// How often the shutdown checks whether everything has ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(5);
@@ -35,15 +37,15 @@
         self.is_stopping.set(true);
     }
 
-    /// Accepts for a while, closes idle connections, and waits until nothing is in flight. There is no limit to this wait:
-    /// each request has a deadline, and a stream ends with its worker or its client.
+    /// Accepts for a while, closes idle connections, and waits until nothing is in flight. There is no limit
+    /// to this wait: each request has a deadline, and a stream ends with its worker or its client.
     pub async fn finish(self) {
         tokio::time::sleep(ACCEPT_TIME).await;
         let _ = self.phase.send(ShutdownPhase::Closing);
         let _ = self.accept_task.await;
         log::info!("stopping: idle connections are closed, {} are open", self.connections.count());
-        // An id is in use for as long as an attempt or a release of its request is in flight, so this also waits until held
-        // KV caches are released.
+        // An id is in use for as long as an attempt or a release of its request is in flight, so this also
+        // waits until held KV caches are released.
         while self.connections.count() > 0 || !self.service.ids.borrow().is_empty() {
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
--- a/src/process/sockets.rs
+++ b/src/process/sockets.rs
@@ -3,10 +3,12 @@
 use super::StartError;
 use crate::config::Config;
 
-/// Descriptors for everything that is neither a client's connection nor one to a worker: the listener, discovery, the log.
+/// Descriptors for everything that is neither a client's connection nor one to a worker: the listener,
+/// discovery, the log.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The connections to workers get this share of the rest, in twentieths. Each request in flight may hold a socket of either
-/// side; clients without a request hold some more of theirs, so their share is the larger one.
+/// The connections to workers get this share of the rest, in twentieths. Each request in flight may hold a
+/// socket of either side; clients without a request hold some more of theirs, so their share is the larger
+/// one.
 const UPSTREAM_TWENTIETHS: usize = 9;
 /// A router with fewer connections to workers does not start.
 const MIN_UPSTREAM_SOCKETS: usize = 64;
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -4,15 +4,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request has this long to be received completely, from its first byte and, where it is the first of its connection, from
-/// the accept. Progress doesn't restart it: an incomplete head, an incomplete body and one byte at a time all occupy a slot.
+/// A request has this long to be received completely, from its first byte and, where it is the first of its
+/// connection, from the accept. Progress doesn't restart it: an incomplete head, an incomplete body and one
+/// byte at a time all occupy a slot.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// A connection on which nothing was received since its accept is closed after this.
 const SILENT_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// The same in the closing phase of a graceful shutdown: time for the request of a client that has just connected.
+/// The same in the closing phase of a graceful shutdown: time for the request of a client that has just
+/// connected.
 const SILENT_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_millis(500);
-/// A client that has had an answer may send the next request of its session, and this router knows which worker has the
-/// session's text cached. Its connection is closed after this, or as soon as its slot is needed.
+/// A client that has had an answer may send the next request of its session, and this router knows which
+/// worker has the session's text cached. Its connection is closed after this, or as soon as its slot is
+/// needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A client that reads nothing of its answer for this long is gone.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -96,8 +99,8 @@
     }
 }
 
-/// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it, and while it is
-/// being closed already.
+/// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it,
+/// and while it is being closed already.
 pub fn close_due(connection: &ConnectionFacts) -> Option<(Instant, CloseReason)> {
     let ConnectionFacts { accepted, has_answered, is_closing_stage, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
@@ -121,14 +124,15 @@
     }
 }
 
-/// Whether a connection is between two requests with its last answer written out. The closing phase of a graceful shutdown
-/// closes it at once: a request that arrived while a timer runs out would have to be accepted.
+/// Whether a connection is between two requests with its last answer written out. The closing phase of a
+/// graceful shutdown closes it at once: a request that arrived while a timer runs out would have to be
+/// accepted.
 pub fn is_at_rest(connection: &ConnectionFacts) -> bool {
     matches!(connection.phase, Phase::Idle(_)) && connection.has_answered && !connection.is_write_blocked
 }
 
-/// Whether a connection that is due may be closed at this moment: not while a request is in flight on it, nor while there are
-/// unread bytes, which would be a request.
+/// Whether a connection that is due may be closed at this moment: not while a request is in flight on it, nor
+/// while there are unread bytes, which would be a request.
 pub fn may_close(phase: Phase, has_unread: bool) -> bool {
     match phase {
         Phase::InHand | Phase::Streaming | Phase::Closing(_) => false,
--- a/src/rules/idempotency.rs
+++ b/src/rules/idempotency.rs
@@ -14,8 +14,8 @@
 /// Before when a repeat has to arrive at a worker, given the earlier attempts that may have had an effect;
 /// [`Micros::MAX`]: at any time, `None`: never.
 ///
-/// With an idempotency key, the deduplication window of each earlier attempt counts, and one outside the scope of the
-/// worker in question rules a repeat there out.
+/// With an idempotency key, the deduplication window of each earlier attempt counts, and one outside the
+/// scope of the worker in question rules a repeat there out.
 pub fn retry_before(
     idempotency: Idempotency,
     deduplication_window: Micros,
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,10 +1,10 @@
 //! The invariants that the router keeps: each is decided in one place and checked while the router runs.
 //!
-//! [`send`] decides whether an attempt may be made and whether it may be written, [`idempotency`] whether a request may be
-//! repeated or rejected, and [`close`] when a client's connection may end. All of these are functions of plain facts:
-//! whoever is about to act collects the facts of that moment and asks. Where two parts of the program have to agree, the
-//! driver asks again after the policy, and an action that would break an invariant is counted in [`Violations`] and not
-//! executed.
+//! [`send`] decides whether an attempt may be made and whether it may be written, [`idempotency`] whether a
+//! request may be repeated or rejected, and [`close`] when a client's connection may end. All of these are
+//! functions of plain facts: whoever is about to act collects the facts of that moment and asks. Where two
+//! parts of the program have to agree, the driver asks again after the policy, and an action that would break
+//! an invariant is counted in [`Violations`] and not executed.
 
 pub mod close;
 pub mod idempotency;
@@ -49,7 +49,8 @@
 pub struct Violations([Cell<u64>; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts a violation and logs it with the request that it concerns. Monitoring looks for the prefix of the line.
+    /// Counts a violation and logs it with the request that it concerns. Monitoring looks for the prefix of
+    /// the line.
     pub fn record(&self, invariant: Invariant, request: &str, detail: impl fmt::Display) {
         self.0[invariant as usize].set(self.count(invariant) + 1);
         log::error!("violation: {invariant:?}, request {request}: {detail}");
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -12,9 +12,9 @@
 
 /// A request that has no final answer yet, or has attempts in flight.
 ///
-/// The final answer is given through the [`Responder`], which is taken out when it is used: a request without one has its
-/// final answer. Taking it cancels every attempt of which nothing has been written, so nothing begins for an answered
-/// request, also where attempts may not be cancelled otherwise.
+/// The final answer is given through the [`Responder`], which is taken out when it is used: a request without
+/// one has its final answer. Taking it cancels every attempt of which nothing has been written, so nothing
+/// begins for an answered request, also where attempts may not be cancelled otherwise.
 pub(super) struct ActiveRequest {
     number: RequestId,
     forwarded: Rc<ForwardedRequest>,
@@ -151,8 +151,8 @@
         Some(responder)
     }
 
-    /// Records a new attempt and returns it for the upstream client. An attempt waits for a release under way: a release
-    /// that arrives after it would take what the attempt leaves.
+    /// Records a new attempt and returns it for the upstream client. An attempt waits for a release under
+    /// way: a release that arrives after it would take what the attempt leaves.
     pub fn start_attempt(&mut self, order: AttemptOrder, now: Micros) -> Attempt {
         let AttemptOrder { worker, stage, timeout, begin_before } = order;
         let until = timeout.map_or(self.deadline, |timeout| self.deadline.min(now.saturating_add(timeout)));
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Records that the answer of an attempt has begun to stream. `None` if there is no such attempt, or if the request has
-    /// its final answer already: that one stands.
+    /// Records that the answer of an attempt has begun to stream. `None` if there is no such attempt, or if
+    /// the request has its final answer already: that one stands.
     pub fn start_stream(&mut self, index: AttemptIndex) -> Option<StartedStream> {
         let is_answered = self.is_answered();
         let attempt = self.attempts.get_mut(index.0 as usize)?;
@@ -211,7 +211,8 @@
         Some(StartedStream { responder, sent_at })
     }
 
-    /// Records the end of an attempt; the time since it was sent. `None` if there is no such attempt in flight.
+    /// Records the end of an attempt; the time since it was sent. `None` if there is no such attempt in
+    /// flight.
     pub fn end_attempt(&mut self, index: AttemptIndex, outcome: Outcome, now: Micros) -> Option<Micros> {
         let attempt = self.attempts.get_mut(index.0 as usize).filter(|attempt| attempt.is_in_flight())?;
         attempt.outcome = Some(outcome);
@@ -229,7 +230,8 @@
         }
     }
 
-    /// Cancels the attempts that stream. A client whose stream ends without the last chunk asks again for the rest.
+    /// Cancels the attempts that stream. A client whose stream ends without the last chunk asks again for the
+    /// rest.
     pub fn cancel_streams(&mut self) {
         self.attempts.iter_mut().filter(|attempt| attempt.is_streaming).for_each(AttemptRecord::cancel);
     }
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -4,8 +4,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The router's clock: microseconds since 1970 when it is started, and monotonic from there, whatever happens to the wall
-/// clock. The machines of a deployment have synchronized clocks, so the start times of workers can be compared with it.
+/// The router's clock: microseconds since 1970 when it is started, and monotonic from there, whatever happens
+/// to the wall clock. The machines of a deployment have synchronized clocks, so the start times of workers
+/// can be compared with it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -1,5 +1,5 @@
-//! The router's counters. They are printed on SIGUSR1 and at exit as `name=value` pairs, which operators' tooling reads: a
-//! counter's name is its field's name.
+//! The router's counters. They are printed on SIGUSR1 and at exit as `name=value` pairs, which operators'
+//! tooling reads: a counter's name is its field's name.
 
 use crate::rules::Violations;
 use std::cell::Cell;
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -1,7 +1,8 @@
 //! How the driver executes the actions of the policy.
 //!
-//! The policy decides by what it has been told; the driver checks again, by what it knows at the moment of the action, that
-//! no invariant of [`rules`](crate::rules) would be broken. An action that would break one is recorded and not executed.
+//! The policy decides by what it has been told; the driver checks again, by what it knows at the moment of
+//! the action, that no invariant of [`rules`](crate::rules) would be broken. An action that would break one
+//! is recorded and not executed.
 
 use super::Driver;
 use crate::interface::{Action, AttemptIndex, EndReason, Micros, RequestId, WorkerId};
@@ -25,8 +26,8 @@
             Action::SetTimer { at, timer } => self.timers.push(at, TimerEntry::Policy(timer)),
             Action::CheckHealth { worker } => self.outbound.check_health(worker),
             Action::CloseIdleConnections { worker } => self.outbound.close_idle_connections(&worker),
-            // The endpoint watcher watches from the start on and reconnects by itself: asking once more would only cut off
-            // the watch that is about to be answered.
+            // The endpoint watcher watches from the start on and reconnects by itself: asking once more would
+            // only cut off the watch that is about to be answered.
             Action::WatchEndpoints => {}
             Action::PollEndpoints => self.outbound.poll_endpoints(),
             Action::Gossip { .. } => {
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -1,4 +1,5 @@
-//! What the driver enforces by itself, whatever the policy does: final answers and releases of KV caches in time.
+//! What the driver enforces by itself, whatever the policy does: final answers and releases of KV caches in
+//! time.
 
 use super::Driver;
 use crate::interface::{Event, Micros, RequestId};
@@ -42,8 +43,8 @@
         self.start_release(request);
     }
 
-    /// Gives a request its final answer without the policy, if it has none yet, and tells the policy that nobody waits for
-    /// it any more.
+    /// Gives a request its final answer without the policy, if it has none yet, and tells the policy that
+    /// nobody waits for it any more.
     pub(super) fn end_request(&mut self, request: RequestId, reason: DriverEndReason) {
         self.answer_without_policy(request, reason);
         self.notify_policy(Event::ClientDisconnected { request });
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -1,7 +1,8 @@
 //! The driver: the loop that feeds the policy its events and executes its actions.
 //!
-//! What happens is handled in [`inputs`](self::inputs), what the policy wants done in [`actions`](self::actions), and what
-//! the driver does by itself when a limit is reached in [`limits`](self::limits).
+//! What happens is handled in [`inputs`](self::inputs), what the policy wants done in
+//! [`actions`](self::actions), and what the driver does by itself when a limit is reached in
+//! [`limits`](self::limits).
 
 mod actions;
 mod inputs;
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Runs until every handle is dropped. Dropping the future drops all requests: those without a final answer fail.
+    /// Runs until every handle is dropped. Dropping the future drops all requests: those without a final
+    /// answer fail.
     pub async fn run(mut self, mut inputs: mpsc::UnboundedReceiver<DriverInput>) {
         loop {
             let next_due = self.timers.next_due().map(|at| self.clock.instant(at));
@@ -68,7 +70,8 @@
                 }
             };
             tokio::select! {
-                // Inputs come first, so that a timer is handled with everything known that happened before it.
+                // Inputs come first, so that a timer is handled with everything known that happened before
+                // it.
                 biased;
                 input = inputs.recv() => match input {
                     Some(input) => self.handle_input(input),
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Hands an event to the policy and executes the actions that it returns. A panic of the policy costs that decision
-    /// only: a request that the policy loses by it is ended at its answer deadline.
+    /// Hands an event to the policy and executes the actions that it returns. A panic of the policy costs
+    /// that decision only: a request that the policy loses by it is ended at its answer deadline.
     fn notify_policy(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let now = self.clock.now();
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Removes a request from the table if it has its final answer and no attempt in flight. A KV cache that is still held
-    /// for it is released.
+    /// Removes a request from the table if it has its final answer and no attempt in flight. A KV cache that
+    /// is still held for it is released.
     fn remove_if_finished(&mut self, request: RequestId) {
         let Some(finished) = self.requests.remove_if_finished(request) else { return };
         if finished.holds_cache() {
--- a/src/runtime/driver/tests.rs
+++ b/src/runtime/driver/tests.rs
@@ -19,7 +19,8 @@
     fn poll_endpoints(&self) {}
 }
 
-/// Guards against memory that grows with every request for as long as the longest deadline that clients state.
+/// Guards against memory that grows with every request for as long as the longest deadline that clients
+/// state.
 #[tokio::test]
 async fn finished_requests_leave_no_timers_behind() {
     let clock = Clock::start();
--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -1,8 +1,9 @@
 //! The exchange: where the server side and the upstream side of one request meet.
 //!
-//! [`open`] returns a [`PendingResponse`] for whoever received the request, and a [`Responder`] that travels to whoever
-//! answers it. A responder is consumed by its use, so a request has one final answer by construction. A responder that is
-//! dropped unused fails the request, so that no client waits for an answer that nobody will give.
+//! [`open`] returns a [`PendingResponse`] for whoever received the request, and a [`Responder`] that travels
+//! to whoever answers it. A responder is consumed by its use, so a request has one final answer by
+//! construction. A responder that is dropped unused fails the request, so that no client waits for an answer
+//! that nobody will give.
 
 mod request;
 mod stream;
@@ -75,7 +76,8 @@
     }
 }
 
-/// Reports that the client has disconnected when it is dropped before [`DisconnectGuard::finished`] was called.
+/// Reports that the client has disconnected when it is dropped before [`DisconnectGuard::finished`] was
+/// called.
 pub struct DisconnectGuard {
     on_disconnect: Option<Rc<dyn Fn()>>,
     request: RequestState,
@@ -103,7 +105,8 @@
     }
 }
 
-/// Waits for the final answer. Dropping it, or the future of one of its methods, reports that the client has disconnected.
+/// Waits for the final answer. Dropping it, or the future of one of its methods, reports that the client has
+/// disconnected.
 pub struct PendingResponse {
     response: oneshot::Receiver<FinalResponse>,
     guard: DisconnectGuard,
@@ -115,8 +118,9 @@
         self.response_unless_disconnected(std::future::pending()).await
     }
 
-    /// Waits for the final answer to a client that may disconnect meanwhile, which `disconnected` resolves at. The driver is
-    /// then notified and still gives a final answer: a client that has only shut down its sending side receives it.
+    /// Waits for the final answer to a client that may disconnect meanwhile, which `disconnected` resolves
+    /// at. The driver is then notified and still gives a final answer: a client that has only shut down its
+    /// sending side receives it.
     pub async fn response_unless_disconnected(
         mut self,
         disconnected: impl Future<Output = ()>,
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -20,8 +20,9 @@
     pub body: Bytes,
     /// The client's connection.
     pub client: ClientConnection,
-    /// What the request occupies, such as its id and its share of memory: freed by the drop of the last reference, which
-    /// may be after the final answer, when the last attempt or release of the request has ended.
+    /// What the request occupies, such as its id and its share of memory: freed by the drop of the last
+    /// reference, which may be after the final answer, when the last attempt or release of the request has
+    /// ended.
     pub resources: Option<Rc<dyn Any>>,
 }
 
@@ -47,8 +48,8 @@
     }
 }
 
-/// Whether a request still waits for its final answer, for all that act on its behalf. It is closed at the moment in which
-/// an answer is given, by whomever, or in which the client is known to have disconnected.
+/// Whether a request still waits for its final answer, for all that act on its behalf. It is closed at the
+/// moment in which an answer is given, by whomever, or in which the client is known to have disconnected.
 #[derive(Clone, Debug)]
 pub struct RequestState(Rc<Cell<bool>>);
 
--- a/src/runtime/exchange/stream.rs
+++ b/src/runtime/exchange/stream.rs
@@ -53,8 +53,8 @@
         self.frames.poll_recv(cx)
     }
 
-    /// Sends a message to the worker that streams; whether the worker accepted it. Dropping the future may leave the message
-    /// sent.
+    /// Sends a message to the worker that streams; whether the worker accepted it. Dropping the future may
+    /// leave the message sent.
     pub async fn reply(&self, body: Bytes) -> bool {
         let (done, accepted) = oneshot::channel();
         self.replies.send(Reply { body, done }).await.is_ok() && accepted.await.unwrap_or(false)
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -81,8 +81,8 @@
 }
 
 impl DriverHandle {
-    /// A handle and the driver's end of the queue. The queue itself is unbounded: it is bounded by the requests in flight,
-    /// which are limited where they are received.
+    /// A handle and the driver's end of the queue. The queue itself is unbounded: it is bounded by the
+    /// requests in flight, which are limited where they are received.
     pub fn channel(clock: Clock) -> (Self, mpsc::UnboundedReceiver<DriverInput>) {
         let (inputs, driver_end) = mpsc::unbounded_channel();
         (DriverHandle { inputs, next_request: Rc::new(Cell::new(1)), clock }, driver_end)
@@ -93,8 +93,8 @@
         let _ = self.inputs.send(input);
     }
 
-    /// Submits a request, under a number that is filled in here. Dropping the pending response tells the driver that the
-    /// client has disconnected.
+    /// Submits a request, under a number that is filled in here. Dropping the pending response tells the
+    /// driver that the client has disconnected.
     pub fn submit_request(&self, mut spec: RequestSpec, forwarded: ForwardedRequest) -> PendingResponse {
         let request = RequestId(self.next_request.get());
         self.next_request.set(request.0 + 1);
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -1,15 +1,15 @@
 //! The KV cache that a prefill worker holds for a request, and when it has to be released.
 //!
-//! A cache may be held only for a limited time while no attempt is in flight. An attempt whose connection has fallen
-//! silent reaches no worker and therefore does not count as in flight, but nothing distinguishes it from an attempt that
-//! waits in a decode worker's queue. The cache is therefore also released at its limit while an attempt is unanswered:
-//! workers keep a released cache for an attempt that has already arrived.
+//! A cache may be held only for a limited time while no attempt is in flight. An attempt whose connection has
+//! fallen silent reaches no worker and therefore does not count as in flight, but nothing distinguishes it
+//! from an attempt that waits in a decode worker's queue. The cache is therefore also released at its limit
+//! while an attempt is unanswered: workers keep a released cache for an attempt that has already arrived.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 
-/// How much later the release is due while an attempt is unanswered: time for the attempt to be answered, or to be given
-/// up for another one. This is half of the tolerance that the protocol grants beyond the configured limit; the other half
-/// is for the release to arrive.
+/// How much later the release is due while an attempt is unanswered: time for the attempt to be answered, or
+/// to be given up for another one. This is half of the tolerance that the protocol grants beyond the
+/// configured limit; the other half is for the release to arrive.
 const UNANSWERED_ATTEMPT_ALLOWANCE: Micros = 150_000;
 
 /// A request's KV cache at a prefill worker, as far as the outcomes of attempts tell.
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,8 +1,9 @@
-//! The runtime around the policy: it feeds the policy events, executes its actions, and owns the timers and the table of
-//! requests.
+//! The runtime around the policy: it feeds the policy events, executes its actions, and owns the timers and
+//! the table of requests.
 //!
-//! The runtime knows no wire protocol. Requests come in through a [`DriverHandle`], calls go out through [`Outbound`], and
-//! their results come back as [`DriverInput`]. Everything runs on one thread, in the order of one queue.
+//! The runtime knows no wire protocol. Requests come in through a [`DriverHandle`], calls go out through
+//! [`Outbound`], and their results come back as [`DriverInput`]. Everything runs on one thread, in the order
+//! of one queue.
 
 mod active_request;
 mod clock;
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -24,7 +24,8 @@
     pub until: Micros,
     /// The attempt may only begin before this.
     pub begin_before: Option<Micros>,
-    /// A release to wait for: one that arrives after this attempt would take the cache that the attempt leaves.
+    /// A release to wait for: one that arrives after this attempt would take the cache that the attempt
+    /// leaves.
     pub after: Option<Rc<ReleaseProgress>>,
     /// Resolves, with a value or because its sender was dropped, when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
@@ -82,18 +83,20 @@
     }
 }
 
-/// The calls that the driver makes through the upstream client. None of them waits: their results come back as
-/// [`DriverInput`](super::DriverInput).
+/// The calls that the driver makes through the upstream client. None of them waits: their results come back
+/// as [`DriverInput`](super::DriverInput).
 pub trait Outbound {
     /// Sends a request to a worker. Answered by exactly one
     /// [`DriverInput::AttemptEnded`](super::DriverInput::AttemptEnded).
     fn send(&self, attempt: Attempt);
-    /// Releases the KV cache that is held for a request, at whichever worker holds it, until the progress is stopped.
+    /// Releases the KV cache that is held for a request, at whichever worker holds it, until the progress is
+    /// stopped.
     fn release_cache(&self, forwarded: Rc<ForwardedRequest>, progress: Rc<ReleaseProgress>);
     /// Asks a decode worker to reserve a slot. Answered by
     /// [`DriverInput::SlotReserved`](super::DriverInput::SlotReserved) if the worker responds.
     fn reserve_slot(&self, request: RequestId, forwarded: Rc<ForwardedRequest>, worker: WorkerId);
-    /// Checks a worker's health. Answered by [`DriverInput::HealthChecked`](super::DriverInput::HealthChecked).
+    /// Checks a worker's health. Answered by
+    /// [`DriverInput::HealthChecked`](super::DriverInput::HealthChecked).
     fn check_health(&self, worker: WorkerId);
     /// Closes idle connections to a worker.
     fn close_idle_connections(&self, worker: &WorkerId);
--- a/src/runtime/request_table.rs
+++ b/src/runtime/request_table.rs
@@ -4,8 +4,8 @@
 use crate::interface::RequestId;
 use std::collections::HashMap;
 
-/// The active requests by their number. A request stays in the table until it has its final answer and none of its
-/// attempts is in flight.
+/// The active requests by their number. A request stays in the table until it has its final answer and none
+/// of its attempts is in flight.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, ActiveRequest>,
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -5,7 +5,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Entries that the queue may hold beyond two for each active request before it is searched for obsolete ones.
+/// Entries that the queue may hold beyond two for each active request before it is searched for obsolete
+/// ones.
 pub(super) const PRUNING_THRESHOLD: usize = 1024;
 
 /// What is due at a moment. Entries of one moment fire in the order of these variants.
@@ -21,7 +22,8 @@
 
 /// The timers that have not fired yet, ordered by time.
 ///
-/// An entry is not removed when its request ends; [`TimerQueue::prune`] bounds how many such entries accumulate.
+/// An entry is not removed when its request ends; [`TimerQueue::prune`] bounds how many such entries
+/// accumulate.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     entries: BinaryHeap<Reverse<(Micros, TimerEntry)>>,
@@ -46,9 +48,9 @@
         self.entries.pop().map(|Reverse((_, entry))| entry)
     }
 
-    /// Drops the entries of requests that are over once they may be the majority. Answer deadlines stay in the queue until
-    /// they are due, which may be minutes if the client says so, though most requests end much earlier: without pruning,
-    /// memory would grow with the longest deadline that clients state.
+    /// Drops the entries of requests that are over once they may be the majority. Answer deadlines stay in
+    /// the queue until they are due, which may be minutes if the client says so, though most requests end
+    /// much earlier: without pruning, memory would grow with the longest deadline that clients state.
     pub fn prune(&mut self, requests: &RequestTable) {
         if self.entries.len() <= 2 * requests.len() + PRUNING_THRESHOLD {
             return;
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -9,8 +9,9 @@
 use rstest::rstest;
 use tokio::sync::oneshot::error::TryRecvError;
 
-/// Guards against an attempt that begins after its client has disconnected, on a connection that is established late, say.
-/// This holds also where attempts may not be cancelled; an attempt that has begun goes on there.
+/// Guards against an attempt that begins after its client has disconnected, on a connection that is
+/// established late, say. This holds also where attempts may not be cancelled; an attempt that has begun goes
+/// on there.
 #[rstest]
 #[case::that_has_not_begun_is_cancelled(false, TryRecvError::Closed)]
 #[case::that_has_begun_goes_on(true, TryRecvError::Empty)]
@@ -29,8 +30,8 @@
     tokio::task::LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against an attempt that begins for a request that has its final answer, from the policy or, where the policy
-/// decides too late, from the driver at the answer deadline.
+/// Guards against an attempt that begins for a request that has its final answer, from the policy or, where
+/// the policy decides too late, from the driver at the answer deadline.
 #[rstest]
 #[case::of_the_policy(60_000_000)]
 #[case::of_the_driver(0)]
@@ -50,8 +51,8 @@
     tokio::task::LocalSet::new().run_until(scenario).await;
 }
 
-/// Hundreds of requests whose deadlines fall on one instant, with attempts in flight that never end: each has its final answer
-/// by then.
+/// Hundreds of requests whose deadlines fall on one instant, with attempts in flight that never end: each has
+/// its final answer by then.
 #[tokio::test(start_paused = true)]
 async fn many_requests_with_one_deadline_are_each_answered_in_time() {
     const REQUESTS: usize = 500;
--- a/tests/driver_held_cache.rs
+++ b/tests/driver_held_cache.rs
@@ -1,5 +1,6 @@
-//! How long a KV cache may be held at a prefill worker, whatever becomes of the attempts at decode workers: an attempt over
-//! a connection that has fallen silent reaches no worker, causes no error, and does not extend the limit.
+//! How long a KV cache may be held at a prefill worker, whatever becomes of the attempts at decode workers:
+//! an attempt over a connection that has fallen silent reaches no worker, causes no error, and does not
+//! extend the limit.
 
 #[path = "support/driver.rs"]
 mod driver;
@@ -13,7 +14,8 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// The least time that an attempt has to arrive before the cache is released, where it is sent within the limit.
+/// The least time that an attempt has to arrive before the cache is released, where it is sent within the
+/// limit.
 const MIN_ARRIVAL_TIME: Duration = Duration::from_millis(150);
 
 fn attempt_ended(attempt: u32, outcome: Outcome) -> DriverInput {
@@ -132,7 +134,8 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// After a release, a cache remains only if the attempt had arrived before it: its limit starts with the attempt's end.
+/// After a release, a cache remains only if the attempt had arrived before it: its limit starts with the
+/// attempt's end.
 #[tokio::test(start_paused = true)]
 async fn after_a_release_the_limit_starts_with_the_end_of_the_attempt() {
     let scenario = async {
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -8,8 +8,8 @@
 /// More lines than a pipe holds.
 const REQUESTS: usize = 300;
 
-/// Guards against a router that waited for its log: once the pipe was full, requests were answered seconds after their
-/// deadline, and workers were told that more time was left than there was.
+/// Guards against a router that waited for its log: once the pipe was full, requests were answered seconds
+/// after their deadline, and workers were told that more time was left than there was.
 #[test]
 fn requests_are_served_while_nobody_reads_the_log() {
     let (prefill_worker, decode_worker) = (Peer::prefill_worker(), decode_worker());
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: every request that was received is answered, and a request that crosses the close of its connection is
-//! neither reset nor forwarded.
+//! Graceful shutdown: every request that was received is answered, and a request that crosses the close of
+//! its connection is neither reset nor forwarded.
 
 mod support;
 
@@ -12,7 +12,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A router with a client whose request is being streamed: the decode worker has sent the first event, and waits.
+/// A router with a client whose request is being streamed: the decode worker has sent the first event, and
+/// waits.
 struct PausedStream {
     client: BufReader<std::net::TcpStream>,
     router: RouterProcess,
@@ -44,8 +45,8 @@
     }
 }
 
-/// Guards against a request lost because it was received in part when the closing phase began: it is rejected, since the process
-/// may end before its deadline.
+/// Guards against a request lost because it was received in part when the closing phase began: it is
+/// rejected, since the process may end before its deadline.
 #[rstest]
 #[case::in_its_head(20)]
 #[case::in_its_body(3)]
@@ -77,8 +78,8 @@
     assert_eq!(messages.try_iter().count(), 0);
 }
 
-/// Guards against the reset of a connection whose client writes a request at the moment of the close, and against forwarding a
-/// request that can't be answered any more.
+/// Guards against the reset of a connection whose client writes a request at the moment of the close, and
+/// against forwarding a request that can't be answered any more.
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_reset_and_not_forwarded() {
     let (seen, messages) = mpsc::channel();
@@ -160,8 +161,8 @@
     router.wait_for("stopped");
 }
 
-/// Guards against the end of the process while a KV cache is held: its prefill is in flight for a client that has disconnected,
-/// where attempts may not be cancelled.
+/// Guards against the end of the process while a KV cache is held: its prefill is in flight for a client that
+/// has disconnected, where attempts may not be cancelled.
 #[test]
 fn the_cache_of_a_prefill_is_released_before_the_process_ends() {
     let (prefill, prefills) = mpsc::channel();
@@ -256,7 +257,8 @@
     assert_eq!(router.stop().get("reloads"), 1);
 }
 
-/// Guards against a shutdown that loses requests: SIGTERM lets them finish, and new connections are still accepted.
+/// Guards against a shutdown that loses requests: SIGTERM lets them finish, and new connections are still
+/// accepted.
 #[test]
 fn sigterm_finishes_requests_in_flight_and_exits_with_success() {
     let (started, starts) = shared_channel();
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -108,7 +108,8 @@
     }
 }
 
-/// Lets all tasks run that can; everything is on one thread. By then the driver has handled the inputs that were submitted.
+/// Lets all tasks run that can; everything is on one thread. By then the driver has handled the inputs that
+/// were submitted.
 pub async fn run_pending_tasks() {
     for _ in 0..100 {
         tokio::task::yield_now().await;
