--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -9,10 +9,12 @@
 pub mod ledger;
 
 use crate::config::ToolSettings;
-use crate::frontend::platform::{ResponseBody, refusal};
-use crate::frontend::service::{MAX_BODY_BYTES, ServiceContext};
+use crate::frontend::context::ServiceContext;
+use crate::frontend::platform::rejection;
+use crate::frontend::response_body::ResponseBody;
 use crate::interface::{RequestId, RequestSpec};
 use crate::net::server::client_socket::ClientSocket;
+use crate::net::server::received_request::MAX_BODY_BYTES;
 use crate::net::{Local, is_plain_id};
 use crate::runtime::exchange::{DisconnectGuard, FinalResponse, ForwardedRequest, Frame, ResponseStream};
 use bytes::{Bytes, BytesMut};
@@ -311,7 +313,7 @@
             }
             Sink::Text { client, .. } => {
                 let client = client.clone();
-                Box::pin(async move { client.left().await })
+                Box::pin(async move { client.disconnected().await })
             }
         }
     }
@@ -410,7 +412,7 @@
         let mut response = fixed(status, error_line(id, &error));
         if let Some(RetryAfter { retry_after }) = error.data {
             let micros = (retry_after * 1e6) as u64;
-            if let Some(value) = refusal(Some(micros)).headers_mut().remove("retry-after") {
+            if let Some(value) = rejection(Some(micros)).headers_mut().remove("retry-after") {
                 response.headers_mut().insert("retry-after", value);
             }
         }
@@ -533,7 +535,7 @@
         let prompt_tokens = params.prompt_len.unwrap_or(body.len() as u64 / 4);
         let ask = RequestSpec {
             request: RequestId(0),
-            deadline: self.shared.driver.clock.ago(client.waited()) + params.deadline_ms * 1000,
+            deadline: self.shared.driver.clock.ago(client.pipeline_wait()) + params.deadline_ms * 1000,
             session: params.session.map(Into::into),
             prefix: params.prefix.map(Into::into),
             prefix_tokens: params.prefix_len.min(prompt_tokens),
@@ -551,7 +553,7 @@
         let call =
             ForwardedRequest { id, target, headers, body, client: client.connection(), resources: None };
         let waiting =
-            self.shared.driver.submit_request(ask, call).response_unless_disconnected(client.left());
+            self.shared.driver.submit_request(ask, call).response_unless_disconnected(client.disconnected());
         let (answer, presence) = tokio::select! {
             answered = waiting => answered,
             _ = in_hand.stop.wait_for(|s| *s != Stop::No) => return Err(CANCELLED),
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -4,19 +4,21 @@
 use super::shutdown::GracefulShutdown;
 use super::sockets::SocketBudget;
 use crate::config::Config;
+use crate::frontend::context::ServiceContext;
 use crate::frontend::jsonrpc::JsonRpcService;
-use crate::frontend::service::{RequestService, ServiceContext};
+use crate::frontend::service::RequestService;
 use crate::interface::UpdateKind;
 use crate::net::discovery::{Backoff, Directory, EndpointWatcher, dial_tcp};
-use crate::net::server::accept::{Listener, RESERVED_CONNECTIONS, ShutdownPhase};
-use crate::net::server::budget::Budget;
+use crate::net::server::accept::{Listener, RESERVED_CONNECTIONS};
 use crate::net::server::connections::Connections;
+use crate::net::server::memory_budget::MemoryBudget;
+use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::socket::listen;
 use crate::net::upstream::client::UpstreamClient;
 use crate::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
 use crate::runtime::counters::Counters;
 use crate::runtime::{Clock, Driver, DriverHandle};
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -77,14 +79,15 @@
         let (phase, phases) = watch::channel(ShutdownPhase::Open);
         let connections = Rc::new(Connections::default());
         let max_connections = sockets.clients - RESERVED_CONNECTIONS;
-        let accept = Listener {
-            service: RequestService { shared: service.clone(), tools: tools.clone() },
-            bound: max_connections,
-            waiting: max_connections,
-            stage: phases,
-            open: connections.clone(),
+        let server = Listener {
+            handler: RequestService { context: service.clone(), jsonrpc: tools.clone() },
+            max_connections,
+            max_waiting_requests: max_connections,
+            shutdown: phases,
+            connections: connections.clone(),
+            counters: counters.clone(),
         };
-        let accept_task = spawn_local(accept.accept(listener));
+        let accept_task = spawn_local(server.accept(listener));
         log::info!(
             "{} serves on {address}, {} sockets for clients and {} for workers",
             config.name,
@@ -94,7 +97,13 @@
         Ok(Router {
             counters,
             discovery: Rc::new(discovery),
-            shutdown: GracefulShutdown { is_stopping, phase, accept_task, connections, service },
+            shutdown: GracefulShutdown {
+                is_stopping,
+                phase,
+                accept_task,
+                connections,
+                active_ids: service.active_ids.clone(),
+            },
             pool: parts.pool,
             tools,
         })
@@ -177,8 +186,10 @@
             classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
             ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
             counters: self.counters.clone(),
-            budget: Budget::new(config.limits.memory_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR),
-            ids: RefCell::default(),
+            body_memory: MemoryBudget::new(
+                config.limits.memory_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR,
+            ),
+            active_ids: Rc::default(),
         }
     }
 
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown: every request that was received gets its final answer, and every held KV cache is
 //! released.
 
-use crate::frontend::service::ServiceContext;
-use crate::net::server::accept::ShutdownPhase;
+use crate::frontend::context::ActiveRequestIds;
+use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::server::connections::Connections;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,8 +26,8 @@
     pub accept_task: JoinHandle<()>,
     /// The open connections of clients.
     pub connections: Rc<Connections>,
-    /// Knows the ids of the requests in flight.
-    pub service: Rc<ServiceContext>,
+    /// The ids of the requests in flight.
+    pub active_ids: Rc<ActiveRequestIds>,
 }
 
 impl GracefulShutdown {
@@ -46,7 +46,7 @@
         log::info!("stopping: idle connections are closed, {} are open", self.connections.count());
         // An id is in use for as long as an attempt or a release of its request is in flight, so this also
         // waits until held KV caches are released.
-        while self.connections.count() > 0 || !self.service.ids.borrow().is_empty() {
+        while self.connections.count() > 0 || !self.active_ids.is_empty() {
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
     }
