--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -6,7 +6,7 @@
 use crate::net::server::framing::{Framing, HeadFraming};
 use crate::net::server::read_gate::ReadGate;
 use crate::net::server::socket_probe;
-use crate::rules::close::{ConnectionFacts, Eviction, Phase};
+use crate::rules::close::{ConnectionFacts, ConnectionPhase, Eviction};
 use crate::runtime::exchange::ClientConnection;
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -28,7 +28,7 @@
     number: u64,
     accepted: Instant,
     stream: Rc<TcpStream>,
-    phase: Cell<Phase>,
+    phase: Cell<ConnectionPhase>,
     gate: ReadGate,
     /// Whether the response in progress is the connection's last.
     is_last_response: Cell<bool>,
@@ -73,7 +73,7 @@
             number,
             accepted: Instant::now(),
             stream,
-            phase: Cell::new(Phase::Idle(Instant::now())),
+            phase: Cell::new(ConnectionPhase::Idle(Instant::now())),
             gate: ReadGate::new(),
             is_last_response: Cell::new(false),
             is_write_blocked: Cell::new(false),
@@ -96,19 +96,19 @@
     }
 
     /// The state of the connection now, as the rules on closing it take it.
-    pub fn facts(&self, is_closing_stage: bool) -> ConnectionFacts {
+    pub fn facts(&self, is_closing_phase: bool) -> ConnectionFacts {
         ConnectionFacts {
             phase: self.phase.get(),
             accepted: self.accepted,
             has_answered: self.has_answered.get(),
             is_write_blocked: self.is_write_blocked.get(),
             eviction: self.eviction.get(),
-            is_closing_stage,
+            is_closing_phase,
         }
     }
 
     /// What the connection is doing.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ConnectionPhase {
         self.phase.get()
     }
 
@@ -212,9 +212,9 @@
 
     /// Records bytes that hyper has read. The gate closes behind the last byte of a request.
     pub(super) fn record_read(&self, bytes: &[u8]) {
-        if let Phase::Idle(_) = self.phase.get() {
+        if let ConnectionPhase::Idle(_) = self.phase.get() {
             self.pipelining.begin_request();
-            self.enter_phase(Phase::Arriving(Instant::now()));
+            self.enter_phase(ConnectionPhase::ReceivingRequest(Instant::now()));
         }
         let mut framing = self.framing.borrow_mut();
         framing.advance(bytes);
@@ -228,12 +228,12 @@
 impl ClientSocket {
     /// The request has been received to its end.
     pub fn complete_request(&self) {
-        self.enter_phase(Phase::InHand);
+        self.enter_phase(ConnectionPhase::AwaitingResponse);
     }
 
     /// The response to the active request is a stream, and begins.
     pub fn begin_streaming(&self) {
-        self.enter_phase(Phase::Streaming);
+        self.enter_phase(ConnectionPhase::Streaming);
     }
 
     /// The response in progress is the last one: nothing is read behind it.
@@ -244,7 +244,7 @@
     /// A response has been handed over: the next request may be read, unless this response was the last.
     pub fn finish_response(&self) {
         self.has_answered.set(true);
-        self.enter_phase(Phase::Idle(Instant::now()));
+        self.enter_phase(ConnectionPhase::Idle(Instant::now()));
         if !self.is_last_response.get() {
             self.gate.open();
         }
@@ -252,7 +252,7 @@
 
     /// The sending side of the connection is shut down.
     pub fn begin_closing(&self) {
-        self.enter_phase(Phase::Closing(Instant::now()));
+        self.enter_phase(ConnectionPhase::Closing(Instant::now()));
     }
 
     /// The connection's slot is needed for others. A more urgent eviction is never weakened.
@@ -266,7 +266,7 @@
         self.is_write_blocked.set(is_blocked);
     }
 
-    fn enter_phase(&self, phase: Phase) {
+    fn enter_phase(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         self.changed.notify_one();
     }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -10,7 +10,7 @@
 use crate::net::server::handler::RequestHandler;
 use crate::net::server::lingering_close::close_lingering;
 use crate::net::server::shutdown_phase::ShutdownPhase;
-use crate::rules::close::{CloseReason, Phase, close_due, is_at_rest, may_close};
+use crate::rules::close::{CloseReason, ConnectionPhase, close_due, is_idle_between_requests, may_close};
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::future::poll_fn;
@@ -35,14 +35,14 @@
     log::debug!("connection {}: ends: {reason}", client.number());
     match reason {
         // hyper has answered what was not HTTP with a 4xx of its own.
-        CloseReason::Unreadable => counters.requests_malformed.increment(),
-        CloseReason::RequestOverdue => {
+        CloseReason::MalformedRequest => counters.requests_malformed.increment(),
+        CloseReason::RequestTimeout => {
             counters.requests_timed_out.increment();
             let _ = client.stream().try_write(REQUEST_TIMEOUT_RESPONSE);
         }
         // The client takes nothing more: there is no response to protect from a reset.
-        CloseReason::WriteBlocked | CloseReason::ClientLeft => return,
-        CloseReason::ByHttp | CloseReason::Idle | CloseReason::Evicted | CloseReason::Shutdown => {}
+        CloseReason::WriteTimeout | CloseReason::ClientDisconnected => return,
+        CloseReason::Completed | CloseReason::Idle | CloseReason::Evicted | CloseReason::Shutdown => {}
     }
     close_lingering(&client).await;
 }
@@ -62,7 +62,7 @@
     loop {
         let is_closing = *shutdown.borrow_and_update() == ShutdownPhase::Closing;
         let facts = client.facts(is_closing);
-        if is_closing && is_at_rest(&facts) && !client.has_unread_bytes() {
+        if is_closing && is_idle_between_requests(&facts) && !client.has_unread_bytes() {
             return CloseReason::Shutdown;
         }
         let wake_at = recheck_at.take().or_else(|| close_due(&facts).map(|(at, _)| at));
@@ -77,12 +77,12 @@
             () = client.changed() => {}
             // Only in a stream: a client that disconnects before its response begins is answered all the same, since
             // it may only have ended its sending.
-            () = client.disconnected(), if client.phase() == Phase::Streaming => return CloseReason::ClientLeft,
+            () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => return CloseReason::ClientDisconnected,
             () = sleep_until(wake_at) => {
                 // Polling hyper may have changed what is due.
                 let due = close_due(&client.facts(is_closing));
                 let Some((_, reason)) = due.filter(|(at, _)| *at <= Instant::now()) else { continue };
-                if reason == CloseReason::WriteBlocked || may_close(client.phase(), client.has_unread_bytes()) {
+                if reason == CloseReason::WriteTimeout || may_close(client.phase(), client.has_unread_bytes()) {
                     return reason;
                 }
                 // A request has been received that hyper has not been told of: the connection is no longer idle.
@@ -102,7 +102,11 @@
 
 /// Why the connection ends after hyper has finished with it.
 fn close_reason_of_http(client: &ClientSocket, result: hyper::Result<()>) -> CloseReason {
-    let Err(error) = result else { return CloseReason::ByHttp };
+    let Err(error) = result else { return CloseReason::Completed };
     log::debug!("connection {}: {error}", client.number());
-    if error.is_parse() || error.is_parse_too_large() { CloseReason::Unreadable } else { CloseReason::ByHttp }
+    if error.is_parse() || error.is_parse_too_large() {
+        CloseReason::MalformedRequest
+    } else {
+        CloseReason::Completed
+    }
 }
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -1,7 +1,7 @@
 //! The registry of open client connections, and the choice of those that are evicted when connections run short.
 
 use crate::net::server::client_socket::ClientSocket;
-use crate::rules::close::{Eviction, Phase};
+use crate::rules::close::{ConnectionPhase, Eviction};
 use crate::runtime::counters::Counters;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -73,33 +73,35 @@
     /// request.
     pub fn evict_early(&self, counters: &Counters) -> EvictionResult {
         let may_evict = |phase| match phase {
-            Phase::Idle(since) | Phase::Closing(since) => since.elapsed() >= MIN_IDLE_BEFORE_EVICTION,
-            Phase::Arriving(since) => since.elapsed() >= MIN_ARRIVAL_BEFORE_EVICTION,
-            Phase::InHand | Phase::Streaming => false,
+            ConnectionPhase::Idle(since) | ConnectionPhase::Closing(since) => {
+                since.elapsed() >= MIN_IDLE_BEFORE_EVICTION
+            }
+            ConnectionPhase::ReceivingRequest(since) => since.elapsed() >= MIN_ARRIVAL_BEFORE_EVICTION,
+            ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming => false,
         };
-        self.evict(Eviction::Soon, may_evict, counters)
+        self.evict(Eviction::Graceful, may_evict, counters)
     }
 
     /// Evicts any connection that is not being answered, since there is no slot left; first those that are closing
     /// already.
     pub fn evict_at_once(&self, counters: &Counters) -> EvictionResult {
-        self.evict(Eviction::AtOnce, |_| true, counters)
+        self.evict(Eviction::Immediate, |_| true, counters)
     }
 
     fn evict(
         &self,
         eviction: Eviction,
-        may_evict: impl Fn(Phase) -> bool,
+        may_evict: impl Fn(ConnectionPhase) -> bool,
         counters: &Counters,
     ) -> EvictionResult {
         let rank = |client: &ClientSocket| match client.phase() {
             phase if !may_evict(phase) => None,
-            Phase::Closing(since) if eviction == Eviction::AtOnce => {
+            ConnectionPhase::Closing(since) if eviction == Eviction::Immediate => {
                 Some(EvictionRank::ClosingAlready(since))
             }
-            Phase::Idle(since) | Phase::Closing(since) => Some(EvictionRank::Idle(since)),
-            Phase::Arriving(since) => Some(EvictionRank::RequestArriving(since)),
-            Phase::InHand | Phase::Streaming => None,
+            ConnectionPhase::Idle(since) | ConnectionPhase::Closing(since) => Some(EvictionRank::Idle(since)),
+            ConnectionPhase::ReceivingRequest(since) => Some(EvictionRank::RequestArriving(since)),
+            ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming => None,
         };
         let open = self.open.borrow();
         let candidates = open.values().filter(|c| c.eviction() < eviction && !c.is_write_blocked());
--- a/src/net/server/lingering_close.rs
+++ b/src/net/server/lingering_close.rs
@@ -78,7 +78,7 @@
 
 /// Resolves when there is no time left for the client to close first.
 async fn evicted_at_once(client: &ClientSocket) {
-    while client.eviction() < Eviction::AtOnce {
+    while client.eviction() < Eviction::Immediate {
         client.changed().await;
     }
 }
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -2,8 +2,8 @@
 //! released.
 
 use crate::frontend::context::ActiveRequestIds;
-use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::server::connections::Connections;
+use crate::net::server::shutdown_phase::ShutdownPhase;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -22,13 +22,13 @@
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ConnectionPhase {
     /// Nothing of a next request was received since then.
     Idle(Instant),
     /// A request began to arrive then, and is not complete.
-    Arriving(Instant),
+    ReceivingRequest(Instant),
     /// A request was received completely and waits for its answer.
-    InHand,
+    AwaitingResponse,
     /// A stream is being passed on.
     Streaming,
     /// The router shut down its sending side then, and the client has not closed yet.
@@ -41,16 +41,16 @@
     /// It is not.
     None,
     /// It is, and there is time for the client to close first.
-    Soon,
+    Graceful,
     /// It is, at once.
-    AtOnce,
+    Immediate,
 }
 
 /// A connection at the moment in which its close is decided on.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionFacts {
     /// What it is doing.
-    pub phase: Phase,
+    pub phase: ConnectionPhase,
     /// When it was accepted.
     pub accepted: Instant,
     /// Whether a request was ever answered on it.
@@ -60,16 +60,16 @@
     /// Whether its slot is needed for others.
     pub eviction: Eviction,
     /// Whether a graceful shutdown is in its closing phase.
-    pub is_closing_stage: bool,
+    pub is_closing_phase: bool,
 }
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// HTTP ends it: its last answer was given, or its client closed first.
-    ByHttp,
+    Completed,
     /// What was received is no valid HTTP.
-    Unreadable,
+    MalformedRequest,
     /// Nothing was received for too long.
     Idle,
     /// Its slot is needed for others.
@@ -77,24 +77,24 @@
     /// The process is about to end.
     Shutdown,
     /// A request was not complete in time.
-    RequestOverdue,
+    RequestTimeout,
     /// Its client reads nothing of its answer.
-    WriteBlocked,
+    WriteTimeout,
     /// Its client disconnected in the middle of a stream.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CloseReason::ByHttp => "by http",
-            CloseReason::Unreadable => "unreadable",
+            CloseReason::Completed => "completed",
+            CloseReason::MalformedRequest => "malformed request",
             CloseReason::Idle => "idle",
             CloseReason::Evicted => "evicted",
             CloseReason::Shutdown => "shutdown",
-            CloseReason::RequestOverdue => "request overdue",
-            CloseReason::WriteBlocked => "write blocked",
-            CloseReason::ClientLeft => "client left",
+            CloseReason::RequestTimeout => "request timeout",
+            CloseReason::WriteTimeout => "write timeout",
+            CloseReason::ClientDisconnected => "client disconnected",
         })
     }
 }
@@ -102,41 +102,45 @@
 /// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it,
 /// and while it is being closed already.
 pub fn close_due(connection: &ConnectionFacts) -> Option<(Instant, CloseReason)> {
-    let ConnectionFacts { accepted, has_answered, is_closing_stage, .. } = *connection;
+    let ConnectionFacts { accepted, has_answered, is_closing_phase, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
     let overdue =
-        if connection.is_write_blocked { CloseReason::WriteBlocked } else { CloseReason::RequestOverdue };
+        if connection.is_write_blocked { CloseReason::WriteTimeout } else { CloseReason::RequestTimeout };
     match connection.phase {
-        Phase::InHand | Phase::Streaming | Phase::Closing(_) => None,
-        Phase::Idle(since) if connection.is_write_blocked => {
-            Some((since + WRITE_TIMEOUT, CloseReason::WriteBlocked))
+        ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming | ConnectionPhase::Closing(_) => None,
+        ConnectionPhase::Idle(since) if connection.is_write_blocked => {
+            Some((since + WRITE_TIMEOUT, CloseReason::WriteTimeout))
         }
-        Phase::Idle(_) if is_evicted => Some((accepted, CloseReason::Evicted)),
-        Phase::Idle(since) if is_closing_stage && has_answered => Some((since, CloseReason::Shutdown)),
-        Phase::Idle(since) if has_answered => Some((since + IDLE_TIMEOUT, CloseReason::Idle)),
-        Phase::Idle(_) if is_closing_stage => {
+        ConnectionPhase::Idle(_) if is_evicted => Some((accepted, CloseReason::Evicted)),
+        ConnectionPhase::Idle(since) if is_closing_phase && has_answered => {
+            Some((since, CloseReason::Shutdown))
+        }
+        ConnectionPhase::Idle(since) if has_answered => Some((since + IDLE_TIMEOUT, CloseReason::Idle)),
+        ConnectionPhase::Idle(_) if is_closing_phase => {
             Some((accepted + SILENT_TIMEOUT_AT_SHUTDOWN, CloseReason::Shutdown))
         }
-        Phase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Idle)),
-        Phase::Arriving(_) if is_evicted => Some((accepted, overdue)),
-        Phase::Arriving(_) if !has_answered => Some((accepted + REQUEST_TIMEOUT, overdue)),
-        Phase::Arriving(since) => Some((since + REQUEST_TIMEOUT, overdue)),
+        ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Idle)),
+        ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted, overdue)),
+        ConnectionPhase::ReceivingRequest(_) if !has_answered => Some((accepted + REQUEST_TIMEOUT, overdue)),
+        ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue)),
     }
 }
 
 /// Whether a connection is between two requests with its last answer written out. The closing phase of a
 /// graceful shutdown closes it at once: a request that arrived while a timer runs out would have to be
 /// accepted.
-pub fn is_at_rest(connection: &ConnectionFacts) -> bool {
-    matches!(connection.phase, Phase::Idle(_)) && connection.has_answered && !connection.is_write_blocked
+pub fn is_idle_between_requests(connection: &ConnectionFacts) -> bool {
+    matches!(connection.phase, ConnectionPhase::Idle(_))
+        && connection.has_answered
+        && !connection.is_write_blocked
 }
 
 /// Whether a connection that is due may be closed at this moment: not while a request is in flight on it, nor
 /// while there are unread bytes, which would be a request.
-pub fn may_close(phase: Phase, has_unread: bool) -> bool {
+pub fn may_close(phase: ConnectionPhase, has_unread: bool) -> bool {
     match phase {
-        Phase::InHand | Phase::Streaming | Phase::Closing(_) => false,
-        Phase::Idle(_) => !has_unread,
-        Phase::Arriving(_) => true,
+        ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming | ConnectionPhase::Closing(_) => false,
+        ConnectionPhase::Idle(_) => !has_unread,
+        ConnectionPhase::ReceivingRequest(_) => true,
     }
 }
