--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -114,7 +114,7 @@
     pub fn evict_expired(&self) {
         self.pool.retire();
         if let Some(tools) = &self.tools {
-            tools.tidy();
+            tools.evict_expired();
         }
     }
 }
