--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -142,8 +142,8 @@
         let limits = PoolLimits {
             sockets: sockets.upstream,
             connect_timeout,
-            keep: config.idle_close / IDLE_TIME_DIVISOR,
-            rest: TRAILING_BYTES_WAIT,
+            idle_timeout: config.idle_close / IDLE_TIME_DIVISOR,
+            trailing_bytes_wait: TRAILING_BYTES_WAIT,
         };
         SharedParts {
             connect_timeout,
@@ -160,7 +160,7 @@
             directory: self.directory.clone(),
             pool: self.pool.clone(),
             driver: self.driver.clone(),
-            reports: config.settings.load_reporting,
+            load_reporting: config.settings.load_reporting,
             counters: self.counters.clone(),
             poll_requested: self.poll_requested.clone(),
         }
