--- a/src/net/upstream/send_guard.rs
+++ b/src/net/upstream/send_guard.rs
@@ -8,7 +8,7 @@
 use crate::net::discovery::Directory;
 use crate::net::upstream::client::UpstreamClient;
 use crate::net::upstream::write_progress::WriteGuard;
-use crate::rules::send::{AttemptFacts, Withheld, may_write};
+use crate::rules::send::{AttemptFacts, WithholdReason, check_write};
 use crate::runtime::Attempt;
 use crate::runtime::exchange::{ClientConnection, RequestState};
 use std::rc::Rc;
@@ -35,10 +35,10 @@
         }
     }
 
-    fn check(&self, now: Micros) -> Result<(), Withheld> {
-        may_write(&AttemptFacts {
+    fn check(&self, now: Micros) -> Result<(), WithholdReason> {
+        check_write(&AttemptFacts {
             is_open: self.state.is_open(),
-            client_left: self.client.has_left(),
+            client_disconnected: self.client.has_left(),
             now,
             until: self.until,
             begin_before: self.begin_before,
@@ -53,7 +53,7 @@
     /// # Errors
     /// The outcome of an attempt that may not.
     pub fn may_begin(&self, attempt: &Attempt, now: Micros) -> Result<(), Outcome> {
-        SendConditions::new(attempt, &self.directory).check(now).map_err(Withheld::outcome)
+        SendConditions::new(attempt, &self.directory).check(now).map_err(WithholdReason::outcome)
     }
 
     /// The check of an attempt before its first byte and before each further write, if the worker takes the
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may be made, and whether it may be written.
+//! Checks whether an attempt may be made, and whether it may be written.
 
 use super::Invariant;
 use crate::interface::{Idempotency, Micros, Outcome};
@@ -23,11 +23,11 @@
     pub may_have_run: bool,
 }
 
-/// Whether another attempt may be made for a request.
+/// Checks whether another attempt may be made for a request.
 ///
 /// # Errors
 /// The invariant that the attempt would break.
-pub fn may_attempt(request: &RequestFacts) -> Result<(), Invariant> {
+pub fn check_attempt(request: &RequestFacts) -> Result<(), Invariant> {
     if request.is_answered {
         return Err(Invariant::NothingAfterAnswer);
     }
@@ -49,7 +49,7 @@
     /// Whether its request still waits for its final answer.
     pub is_open: bool,
     /// Whether its client has disconnected.
-    pub client_left: bool,
+    pub client_disconnected: bool,
     /// The present time.
     pub now: Micros,
     /// When the attempt times out.
@@ -62,61 +62,61 @@
 
 /// Why an attempt may not begin, or not go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum WithholdReason {
     /// Its request has its final answer.
     Answered,
     /// Its client has disconnected.
-    ClientLeft,
+    ClientDisconnected,
     /// It has timed out.
-    TimeUp,
+    TimedOut,
     /// Workers would not recognize it as a repeat any more.
-    WindowOver,
+    DeduplicationWindowOver,
     /// Its worker is draining or removed.
-    WorkerWithdrawn,
+    WorkerNotReady,
 }
 
-impl Withheld {
+impl WithholdReason {
     /// The outcome of an attempt of which nothing was written.
     pub fn outcome(self) -> Outcome {
         match self {
-            Withheld::Answered | Withheld::ClientLeft => Outcome::Cancelled,
-            Withheld::TimeUp => Outcome::ConnectFailed,
-            Withheld::WindowOver | Withheld::WorkerWithdrawn => Outcome::NotSent,
+            WithholdReason::Answered | WithholdReason::ClientDisconnected => Outcome::Cancelled,
+            WithholdReason::TimedOut => Outcome::ConnectFailed,
+            WithholdReason::DeduplicationWindowOver | WithholdReason::WorkerNotReady => Outcome::NotSent,
         }
     }
 }
 
-impl fmt::Display for Withheld {
+impl fmt::Display for WithholdReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Withheld::Answered => "its request has been answered",
-            Withheld::ClientLeft => "its client has disconnected",
-            Withheld::TimeUp => "it has timed out",
-            Withheld::WindowOver => "the deduplication window is over",
-            Withheld::WorkerWithdrawn => "its worker is draining or removed",
+            WithholdReason::Answered => "its request has been answered",
+            WithholdReason::ClientDisconnected => "its client has disconnected",
+            WithholdReason::TimedOut => "it has timed out",
+            WithholdReason::DeduplicationWindowOver => "the deduplication window is over",
+            WithholdReason::WorkerNotReady => "its worker is draining or removed",
         })
     }
 }
 
-/// Whether bytes of an attempt may be written now.
+/// Checks whether bytes of an attempt may be written now.
 ///
 /// # Errors
 /// Why not.
-pub fn may_write(attempt: &AttemptFacts) -> Result<(), Withheld> {
+pub fn check_write(attempt: &AttemptFacts) -> Result<(), WithholdReason> {
     if !attempt.is_open {
-        return Err(Withheld::Answered);
+        return Err(WithholdReason::Answered);
     }
-    if attempt.client_left {
-        return Err(Withheld::ClientLeft);
+    if attempt.client_disconnected {
+        return Err(WithholdReason::ClientDisconnected);
     }
     if attempt.now >= attempt.until {
-        return Err(Withheld::TimeUp);
+        return Err(WithholdReason::TimedOut);
     }
     if attempt.begin_before.is_some_and(|end| attempt.now >= end) {
-        return Err(Withheld::WindowOver);
+        return Err(WithholdReason::DeduplicationWindowOver);
     }
     if !attempt.worker_is_ready {
-        return Err(Withheld::WorkerWithdrawn);
+        return Err(WithholdReason::WorkerNotReady);
     }
     Ok(())
 }
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -7,7 +7,7 @@
 use super::Driver;
 use crate::interface::{Action, AttemptIndex, EndReason, Micros, RequestId, WorkerId};
 use crate::rules::Invariant;
-use crate::rules::send::may_attempt;
+use crate::rules::send::check_attempt;
 use crate::runtime::active_request::AttemptOrder;
 use crate::runtime::timers::TimerEntry;
 
@@ -40,7 +40,7 @@
     fn send(&mut self, request: RequestId, order: AttemptOrder) {
         let now = self.clock.now();
         let Some(active) = self.requests.get_mut(request) else { return };
-        if let Err(invariant) = may_attempt(&active.facts(&self.settings)) {
+        if let Err(invariant) = check_attempt(&active.facts(&self.settings)) {
             let detail = format!("not sent to {}", order.worker.0);
             self.counters.violations.record(invariant, active.id(), detail);
             return;
