--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -31,7 +31,7 @@
     ///
     /// By then its connection is closed or back in the pool. Dropping the future reports a lost connection.
     pub async fn run_to_completion(client: UpstreamClient, attempt: Attempt) {
-        let deadline = Box::pin(tokio::time::sleep_until(client.driver.clock.instant(attempt.until)));
+        let deadline = Box::pin(tokio::time::sleep_until(client.driver.clock.instant(attempt.deadline)));
         let mut runner = AttemptRunner { client, attempt, deadline };
         let completion = AttemptCompletion::new(runner.client.driver.clone(), &runner.attempt);
         let result = runner.run().await.unwrap_or_else(AttemptResult::from);
@@ -62,7 +62,7 @@
     /// the decode worker would not find it. So the release goes first, and is not continued once the prefill
     /// is sent.
     async fn wait_for_release(&mut self) -> Result<(), Outcome> {
-        let Some(release) = self.attempt.after.take() else { return Ok(()) };
+        let Some(release) = self.attempt.pending_release.take() else { return Ok(()) };
         tokio::select! {
             // A cancelled attempt ends here, whatever the release has come to.
             biased;
@@ -103,7 +103,7 @@
 
     /// Sends the request and reads its response, up to the first event if it is a stream.
     async fn exchange(&mut self, connection: &mut Connection) -> Result<UpstreamResponse, Outcome> {
-        let remaining = self.attempt.until.saturating_sub(self.client.driver.clock.now());
+        let remaining = self.attempt.deadline.saturating_sub(self.client.driver.clock.now());
         let forwarded = &self.attempt.forwarded;
         let request = forward_request(forwarded, remaining).map_err(|_| Outcome::NotSent)?;
         let (body_length, stage) = (forwarded.body.len(), self.attempt.stage);
--- a/src/net/upstream/send_guard.rs
+++ b/src/net/upstream/send_guard.rs
@@ -17,7 +17,7 @@
 struct SendConditions {
     state: RequestState,
     client: ClientConnection,
-    until: Micros,
+    deadline: Micros,
     begin_before: Option<Micros>,
     worker: WorkerId,
     directory: Rc<Directory>,
@@ -28,7 +28,7 @@
         SendConditions {
             state: attempt.state.clone(),
             client: attempt.forwarded.client.clone(),
-            until: attempt.until,
+            deadline: attempt.deadline,
             begin_before: attempt.begin_before,
             worker: attempt.worker.clone(),
             directory: directory.clone(),
@@ -40,7 +40,7 @@
             is_open: self.state.is_open(),
             client_disconnected: self.client.has_left(),
             now,
-            until: self.until,
+            deadline: self.deadline,
             begin_before: self.begin_before,
             worker_is_ready: self.directory.is_ready(&self.worker),
         })
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -53,7 +53,7 @@
     /// The present time.
     pub now: Micros,
     /// When the attempt times out.
-    pub until: Micros,
+    pub deadline: Micros,
     /// The attempt may only begin before this.
     pub begin_before: Option<Micros>,
     /// Whether its worker is in service.
@@ -109,7 +109,7 @@
     if attempt.client_disconnected {
         return Err(WithholdReason::ClientDisconnected);
     }
-    if attempt.now >= attempt.until {
+    if attempt.now >= attempt.deadline {
         return Err(WithholdReason::TimedOut);
     }
     if attempt.begin_before.is_some_and(|end| attempt.now >= end) {
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -155,7 +155,8 @@
     /// way: a release that arrives after it would take what the attempt leaves.
     pub fn start_attempt(&mut self, order: AttemptOrder, now: Micros) -> Attempt {
         let AttemptOrder { worker, stage, timeout, begin_before } = order;
-        let until = timeout.map_or(self.deadline, |timeout| self.deadline.min(now.saturating_add(timeout)));
+        let deadline =
+            timeout.map_or(self.deadline, |timeout| self.deadline.min(now.saturating_add(timeout)));
         let index = AttemptIndex(self.attempts.len() as u32);
         let previous = self.attempts.last().and_then(|attempt| attempt.outcome);
         log::debug!(
@@ -163,7 +164,7 @@
             self.id(),
             index.0,
             worker.0,
-            until.saturating_sub(now)
+            deadline.saturating_sub(now)
         );
         let (cancel, cancelled) = oneshot::channel();
         let begun = Rc::<Cell<bool>>::default();
@@ -184,9 +185,9 @@
             worker,
             stage,
             forwarded: self.forwarded.clone(),
-            until,
+            deadline,
             begin_before,
-            after: self.release.take(),
+            pending_release: self.release.take(),
             cancelled,
             begun,
         }
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -21,12 +21,12 @@
     /// What is sent.
     pub forwarded: Rc<ForwardedRequest>,
     /// When to stop waiting for the first event of the answer.
-    pub until: Micros,
+    pub deadline: Micros,
     /// The attempt may only begin before this.
     pub begin_before: Option<Micros>,
     /// A release to wait for: one that arrives after this attempt would take the cache that the attempt
     /// leaves.
-    pub after: Option<Rc<ReleaseProgress>>,
+    pub pending_release: Option<Rc<ReleaseProgress>>,
     /// Resolves, with a value or because its sender was dropped, when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
     /// To be set before anything of the request is written.
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -54,7 +54,7 @@
         let mut attempt = upstream.attempt(WORKER, "id-1");
         attempt.forwarded =
             Rc::new(ForwardedRequest { body: worker.body.clone(), ..forwarded_request("id-1") });
-        attempt.until = upstream.now() + timeout.unwrap_or(10 * SECOND);
+        attempt.deadline = upstream.now() + timeout.unwrap_or(10 * SECOND);
         let begun = attempt.begun.clone();
         upstream.client.send(attempt);
         for _ in 0..MANY_TURNS {
@@ -162,7 +162,7 @@
         });
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
         let mut first = upstream.attempt(WORKER, "id-1");
-        first.until = upstream.now() + SECOND / 4;
+        first.deadline = upstream.now() + SECOND / 4;
         assert_eq!(upstream.outcome_of(first).await, Outcome::TimedOut);
         let second = upstream.attempt(WORKER, "id-2");
         assert_eq!(upstream.outcome_of(second).await, Outcome::PrefillCompleted);
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -79,9 +79,9 @@
             worker: WorkerId(worker.into()),
             stage: Stage::Prefill,
             forwarded: Rc::new(forwarded_request(id)),
-            until: self.now() + 10 * SECOND,
+            deadline: self.now() + 10 * SECOND,
             begin_before: None,
-            after: None,
+            pending_release: None,
             cancelled,
             begun: Rc::default(),
         }
--- a/tests/attempts/send_conditions.rs
+++ b/tests/attempts/send_conditions.rs
@@ -79,7 +79,7 @@
     let mut attempt = upstream.attempt(WORKER, "id-1");
     let now = upstream.now();
     match meanwhile {
-        Meanwhile::DeadlinePassed => attempt.until = now,
+        Meanwhile::DeadlinePassed => attempt.deadline = now,
         Meanwhile::DeduplicationWindowEnded => attempt.begin_before = Some(now),
         _ => attempt.begin_before = Some(now + 1),
     }
@@ -127,14 +127,14 @@
         let (worker, received) = recording_worker(complete_prefill);
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
         let mut attempt = upstream.attempt(WORKER, "id-1");
-        let until = attempt.until;
+        let deadline = attempt.deadline;
         let (release, decided) = (Rc::<ReleaseProgress>::default(), upstream.now());
-        attempt.after = Some(release.clone());
+        attempt.pending_release = Some(release.clone());
         assert_eq!(upstream.outcome_of(attempt).await, Outcome::PrefillCompleted);
         let message = received.recv().unwrap();
         let remaining: Micros = message.header("x-deadline").unwrap().trim_end_matches('u').parse().unwrap();
         // The release is never acknowledged, so the attempt waits for it as long as it may.
-        assert!(remaining <= until - decided - 100_000, "{remaining} us of {}", until - decided);
+        assert!(remaining <= deadline - decided - 100_000, "{remaining} us of {}", deadline - decided);
     })
     .await;
 }
