--- a/src/lib.rs
+++ b/src/lib.rs
@@ -66,5 +66,6 @@
 pub mod rules;
 pub mod runtime;
 pub mod simulator;
+pub mod wire_format;
 
 pub use policy::Policy;
--- a/src/main.rs
+++ b/src/main.rs
@@ -69,8 +69,8 @@
     let text = read_file(&file)?;
     let imported = import(&text).map_err(|source| CommandError::Import { file, source })?;
     print!("{}", imported.file);
-    for (line, what) in imported.left_out {
-        eprintln!("line {line}, not carried over: {what}");
+    for omission in imported.omissions {
+        eprintln!("line {}, not carried over: {}", omission.line, omission.description);
     }
     Ok(())
 }
