--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -50,7 +50,4 @@
         /// What is needed.
         minimum_mb: usize,
     },
-    /// A failure outside of the configuration's text, as the program words it.
-    #[error("configuration: {0}")]
-    Other(String),
 }
