--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -58,7 +58,7 @@
     /// # Errors
     /// The address can't be listened on, or there are too few sockets.
     pub fn start(config: &mut Config) -> Result<Self, StartError> {
-        let (address, listener) = bind(config)?;
+        let (address, socket) = bind(config)?;
         let counters = Rc::<Counters>::default();
         let clock = Clock::start();
         let (driver_handle, inputs) = DriverHandle::channel(clock);
@@ -76,37 +76,15 @@
         let is_stopping = Rc::new(Cell::new(false));
         let service = Rc::new(parts.service_context(config, is_stopping.clone()));
         let tools = parts.tool_front(config, &service);
-        let (phase, phases) = watch::channel(ShutdownPhase::Open);
-        let connections = Rc::new(Connections::default());
-        let max_connections = sockets.clients - RESERVED_CONNECTIONS;
-        let server = Listener {
-            handler: RequestService { context: service.clone(), jsonrpc: tools.clone() },
-            max_connections,
-            max_waiting_requests: max_connections,
-            shutdown: phases,
-            connections: connections.clone(),
-            counters: counters.clone(),
-        };
-        let accept_task = spawn_local(server.accept(listener));
+        let handler = RequestService { context: service, jsonrpc: tools.clone() };
+        let shutdown = parts.start_server(sockets, socket, handler, is_stopping);
         log::info!(
             "{} serves on {address}, {} sockets for clients and {} for workers",
             config.name,
             sockets.clients,
             sockets.upstream
         );
-        Ok(Router {
-            counters,
-            discovery: Rc::new(discovery),
-            shutdown: GracefulShutdown {
-                is_stopping,
-                phase,
-                accept_task,
-                connections,
-                active_ids: service.active_ids.clone(),
-            },
-            pool: parts.pool,
-            tools,
-        })
+        Ok(Router { counters, discovery: Rc::new(discovery), shutdown, pool: parts.pool, tools })
     }
 
     /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that
@@ -197,4 +175,28 @@
         let settings = config.tools.clone()?;
         Some(JsonRpcService::new(service.clone(), settings, self.connect_timeout, config.seed))
     }
+
+    /// Starts to accept connections.
+    fn start_server(
+        &self,
+        sockets: SocketBudget,
+        socket: TcpListener,
+        handler: RequestService,
+        is_stopping: Rc<Cell<bool>>,
+    ) -> GracefulShutdown {
+        let (phase, phases) = watch::channel(ShutdownPhase::Open);
+        let connections = Rc::new(Connections::default());
+        let active_ids = handler.context.active_ids.clone();
+        let max_connections = sockets.clients - RESERVED_CONNECTIONS;
+        let server = Listener {
+            handler,
+            max_connections,
+            max_waiting_requests: max_connections,
+            shutdown: phases,
+            connections: connections.clone(),
+            counters: self.counters.clone(),
+        };
+        let accept_task = spawn_local(server.accept(socket));
+        GracefulShutdown { is_stopping, phase, accept_task, connections, active_ids }
+    }
 }
