--- a/src/import/haproxy/mod.rs
+++ b/src/import/haproxy/mod.rs
@@ -9,6 +9,7 @@
 mod error;
 mod lexer;
 mod operator_file;
+mod roles;
 mod routes;
 mod sections;
 mod values;
--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -5,6 +5,7 @@
 
 use super::directives::{Proxy, Server};
 use super::error::ImportErrorKind;
+use super::roles::{Role, role_of_backend};
 use super::routes::{Backend, Routes};
 use crate::interface::Micros;
 use serde::Serialize;
@@ -29,26 +30,6 @@
 /// Where no keep-alive timeout is stated.
 const DEFAULT_IDLE_TIMEOUT: Micros = 30_000_000;
 
-/// What the servers of a backend do.
-#[derive(Clone, Copy, PartialEq, Serialize)]
-pub(super) enum Role {
-    #[serde(rename = "read")]
-    Prefill,
-    #[serde(rename = "write")]
-    Decode,
-    #[serde(rename = "both")]
-    Unified,
-}
-
-/// The role that a backend's name stands for.
-pub(super) fn role_of_backend(name: &str) -> Role {
-    match name {
-        "prompt" | "read" | "reader" | "readers" => Role::Prefill,
-        "answer" | "write" | "writer" | "writers" => Role::Decode,
-        _ => Role::Unified,
-    }
-}
-
 /// Writes the file's content.
 pub(super) fn write(routes: &Routes<'_>, max_connections: Option<u64>) -> Result<String, ImportErrorKind> {
     let file = OperatorFile {
--- a/src/import/haproxy/routes.rs
+++ b/src/import/haproxy/routes.rs
@@ -3,7 +3,7 @@
 use super::Omission;
 use super::directives::{Bind, Proxy};
 use super::error::{ImportError, ImportErrorKind};
-use super::operator_file::{Role, role_of_backend};
+use super::roles::{Role, role_of_backend};
 use super::sections::{Document, ProxySection};
 
 /// What is carried over of a file's proxies.
--- a/src/net/upstream/client.rs
+++ b/src/net/upstream/client.rs
@@ -1,18 +1,15 @@
-//! The upstream client: the driver's [`Outbound`] over connections to workers.
+//! The upstream client: workers' addresses, connections to them, and the driver to report to.
 
-use crate::interface::{LoadReporting, RequestId, WorkerId};
+use crate::interface::{LoadReporting, WorkerId};
 use crate::net::discovery::Directory;
-use crate::net::upstream::attempt::AttemptRunner;
 use crate::net::upstream::pool::{ConnectError, Connection, Pool, Target};
-use crate::net::upstream::{health, release, slot};
+use crate::runtime::DriverHandle;
 use crate::runtime::counters::Counters;
-use crate::runtime::exchange::ForwardedRequest;
-use crate::runtime::{Attempt, DriverHandle, Outbound, ReleaseProgress};
 use std::rc::Rc;
 use tokio::sync::Notify;
 use tower::{Service, ServiceExt};
 
-/// The upstream side of the router: an [`Outbound`] for the driver, and a tower service for single calls to
+/// The upstream side of the router: an [`Outbound`](crate::runtime::Outbound) for the driver, and a tower service for single calls to
 /// workers. Clones share the same directory, pool and counters.
 #[derive(Clone)]
 pub struct UpstreamClient {
@@ -41,32 +38,3 @@
         self.pool.clone().ready().await?.call(target.clone()).await
     }
 }
-
-/// Each call runs in a task of its own on the current thread. Attempts and releases end early only as their
-/// [`Attempt::cancelled`] and [`ReleaseProgress`] say.
-impl Outbound for UpstreamClient {
-    fn send(&self, attempt: Attempt) {
-        tokio::task::spawn_local(AttemptRunner::run_to_completion(self.clone(), attempt));
-    }
-
-    fn release_cache(&self, request: Rc<ForwardedRequest>, progress: Rc<ReleaseProgress>) {
-        let client = self.clone();
-        tokio::task::spawn_local(async move { release::release_cache(&client, &request, &progress).await });
-    }
-
-    fn reserve_slot(&self, request: RequestId, forwarded: Rc<ForwardedRequest>, worker: WorkerId) {
-        slot::reserve_slot(self, request, &forwarded, worker);
-    }
-
-    fn check_health(&self, worker: WorkerId) {
-        tokio::task::spawn_local(health::check_health(self.clone(), worker));
-    }
-
-    fn close_idle_connections(&self, worker: &WorkerId) {
-        self.pool.close_idle_connections(worker);
-    }
-
-    fn poll_endpoints(&self) {
-        self.poll_requested.notify_one();
-    }
-}
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -6,7 +6,8 @@
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `client` | the driver's [`Outbound`](crate::runtime::Outbound) |
+//! | `client` | addresses, connections and the driver, for all of the below |
+//! | `outbound` | the driver's [`Outbound`](crate::runtime::Outbound): starts the calls |
 //! | `attempt`, `completion` | the steps of an attempt, and the report of its end |
 //! | `forward`, `send_guard` | the request as it is written, and whether it may still be |
 //! | `response`, `event_stream` | what a worker answered, up to the first event of a stream |
@@ -25,6 +26,7 @@
 mod forward;
 mod health;
 mod load_report;
+mod outbound;
 pub mod pool;
 mod release;
 mod response;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,6 +4,7 @@
 use super::context::DecisionContext;
 use super::decode_choice::DecodeChooser;
 use super::eligibility::eligible_workers;
+use super::load_estimator::LoadEstimator;
 use super::prefill_choice::{PrefillChoice, PrefillChooser};
 use super::request::{Request, RequestPhase};
 use super::tenant_quotas::QuotaStatus;
@@ -127,7 +128,7 @@
             objective: context.first_token_objective(request) as f64,
             prompt_tokens: request.spec.prompt_tokens as f64,
             uncached_tokens,
-            queued_tokens: context.load().queued_tokens(&route.worker, 0.0),
+            queued_tokens: LoadEstimator::new(context).queued_tokens(&route.worker, 0.0),
             relative_slowness: context.relative_slowness(&route.worker),
         }
     }
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -3,6 +3,7 @@
 use super::STAGE_SHARE;
 use super::admission::PlannedStage;
 use super::context::DecisionContext;
+use super::load_estimator::LoadEstimator;
 use super::request::{Attempt, Request};
 use super::retry;
 use super::worker::{Distance, Worker};
@@ -106,7 +107,7 @@
         let distance = holder.map_or(Distance::Remote, |holder| holder.distance_to(worker));
         let (uncached_tokens, tokens, work, time_per_token) = match planned {
             PlannedStage::Prefill { uncached_tokens } => {
-                let queued_tokens = context.load().queued_tokens(worker_id, 0.0);
+                let queued_tokens = LoadEstimator::new(context).queued_tokens(worker_id, 0.0);
                 let in_progress = latency.uncached_tokens().value_or(prompt_tokens);
                 let work = queued_tokens + uncached_tokens + in_progress;
                 (uncached_tokens, uncached_tokens, work, latency.prefill_time_per_token())
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -1,8 +1,7 @@
 //! What a decision may look at.
 
-use super::decode_choice::DecodeTimeouts;
+use super::decode_timeouts::DecodeTimeouts;
 use super::latency_model::{LatencyModel, TimeoutBackoff};
-use super::load_view::LoadEstimator;
 use super::membership::Membership;
 use super::prefix_table::PrefixTable;
 use super::request::{Request, RequestTable};
@@ -58,11 +57,6 @@
         class.first_token_objective.saturating_add(length_part as Micros)
     }
 
-    /// Estimates of the load at workers.
-    pub fn load(&self) -> LoadEstimator<'a> {
-        LoadEstimator::new(*self)
-    }
-
     /// How much longer a worker takes than the median worker of its role: 1 for an ordinary one, and at least
     /// what its slow start makes it.
     pub fn relative_slowness(&self, id: &WorkerId) -> f64 {
--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -3,11 +3,11 @@
 
 use super::context::DecisionContext;
 use super::eligibility::{EligibleWorker, eligible_workers};
+use super::load_estimator::LoadEstimator;
 use super::request::Request;
-use super::statistics::DecayingSum;
 use super::worker::{Distance, Worker};
 use crate::hashing::unit_interval;
-use crate::interface::{Micros, RequestId, Role, WorkerId};
+use crate::interface::{RequestId, Role, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// A nearer worker is taken while no more of its memory than this is in use beyond the best one's: the part
@@ -21,26 +21,6 @@
 /// All requests stay near from this many recent timeouts out of the cell on.
 const REMOTE_TIMEOUTS_TO_STAY_NEAR: f64 = 0.5;
 
-/// Recent attempts at decode workers that did not start in time.
-#[derive(Default)]
-pub(super) struct DecodeTimeouts {
-    /// In the cell of the KV cache.
-    same_cell: DecayingSum,
-    /// Out of the cell, or without a KV cache.
-    elsewhere: DecayingSum,
-}
-
-impl DecodeTimeouts {
-    /// Records an attempt that did not start in time.
-    pub fn record(&mut self, distance: Distance, now: Micros) {
-        let timeouts = match distance {
-            Distance::SameCell => &mut self.same_cell,
-            Distance::SameZone | Distance::Remote => &mut self.elsewhere,
-        };
-        timeouts.add(now, 1.0);
-    }
-}
-
 /// A decode worker as one decision sees it.
 struct DecodeCandidate<'a> {
     id: &'a WorkerId,
@@ -71,7 +51,7 @@
         let candidate = |target: EligibleWorker<'a>| DecodeCandidate {
             id: target.id,
             worker: target.worker,
-            projected_memory: context.load().projected_memory(target.id, target.worker),
+            projected_memory: LoadEstimator::new(context).projected_memory(target.id, target.worker),
             rank: xxh3_64_with_seed(target.id.0.as_bytes(), id.0 ^ context.seed),
         };
         DecodeChooser { context, request: id, candidates: eligible.into_iter().map(candidate).collect() }
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -1,6 +1,6 @@
 //! What the outcomes of attempts teach of workers, latencies and timeouts.
 
-use super::decode_choice::DecodeTimeouts;
+use super::decode_timeouts::DecodeTimeouts;
 use super::latency_model::{LatencyKind, LatencyModel, TimeoutBackoff};
 use super::membership::Membership;
 use super::request::Attempt;
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -1,15 +1,15 @@
-//! What this router knows of the load at workers: its own attempts, reports, and other routers' gossip.
+//! What is reported of the load at a worker, and what other routers gossip of it.
 
-use super::context::DecisionContext;
-use super::statistics::{DecayingSum, LOAD_HALF_LIFE, decay};
-use super::worker::Worker;
-use crate::interface::{LoadReport, Micros, Stage, WorkerId};
+use super::statistics::{DecayingSum, LOAD_HALF_LIFE};
+use crate::interface::{LoadReport, Micros};
 
 /// A load report and when it came.
 #[derive(Clone, Copy)]
-struct ReceivedReport {
-    received_at: Micros,
-    report: LoadReport,
+pub(super) struct ReceivedReport {
+    /// When it came.
+    pub received_at: Micros,
+    /// What it says.
+    pub report: LoadReport,
 }
 
 /// Whether a worker's load has to be asked for before it is sent a prefill.
@@ -67,79 +67,18 @@
         self.health_check_sent_at = Some(now);
     }
 
-    /// The reported share of its memory in use.
-    pub fn memory_utilization(&self) -> Option<f64> {
-        self.report.and_then(|received| received.report.memory_utilization)
-    }
-}
-
-/// Tokens that a report says to wait at a worker, and how far it is still trusted, between 0 and 1.
-#[derive(Clone, Copy, Default)]
-pub(super) struct ReportedQueue {
-    /// The tokens.
-    pub tokens: f64,
-    /// The trust; 0 without a report.
-    pub trust: f64,
-}
-
-/// Load of workers, estimated from all sources.
-#[derive(Clone, Copy)]
-pub(super) struct LoadEstimator<'a> {
-    context: DecisionContext<'a>,
-}
-
-impl<'a> LoadEstimator<'a> {
-    /// An estimator for one decision.
-    pub fn new(context: DecisionContext<'a>) -> Self {
-        LoadEstimator { context }
-    }
-
-    /// Prompt tokens that wait at a worker: this router's, what is gossiped of the others', and what is
-    /// reported. An old report decays to `average`, the average one, never to an empty queue that would draw
-    /// prompts away from where they are cached.
-    pub fn queued_tokens(&self, worker: &WorkerId, average: f64) -> f64 {
-        let now = self.context.now;
-        let own: f64 = (self.context.requests.in_flight_at(worker))
-            .filter(|attempt| attempt.stage == Stage::Prefill)
-            .map(|attempt| attempt.tokens)
-            .sum();
-        let ReportedQueue { tokens, trust } = self.reported_queue(worker);
-        let known = self.context.membership.get(worker);
-        let gossiped = known.map_or(0.0, |worker| worker.load.peer_tokens.value_at(now));
-        own + gossiped + trust * tokens + (1.0 - trust) * average
+    /// The latest report, if there was one.
+    pub fn latest_report(&self) -> Option<ReceivedReport> {
+        self.report
     }
 
-    /// The queue that a worker has reported. Cached tokens are reported to wait, too, and are taken off here.
-    pub fn reported_queue(&self, worker: &WorkerId) -> ReportedQueue {
-        let report = self.context.membership.get(worker).and_then(|worker| worker.load.report);
-        let Some(received) = report else { return ReportedQueue::default() };
-        let Some(tokens) = received.report.queued_tokens else { return ReportedQueue::default() };
-        let latency = self.context.latency;
-        let prompt_tokens = latency.prompt_tokens().value_or(1.0).max(1.0);
-        let uncached_share = latency.uncached_tokens().value_or(1.0) / prompt_tokens;
-        let trust = decay(self.context.now, received.received_at);
-        ReportedQueue { tokens: tokens * uncached_share.min(1.0), trust }
+    /// Tokens that wait there according to gossip and timeouts.
+    pub fn peer_tokens(&self, now: Micros) -> f64 {
+        self.peer_tokens.value_at(now)
     }
 
-    /// The projected share of a worker's memory in use, weighted by its slowness. The other routers are taken
-    /// to use as much as this one, less so the fresher a report there is.
-    pub fn projected_memory(&self, id: &WorkerId, worker: &Worker) -> f64 {
-        let in_flight = || self.context.requests.in_flight_at(id);
-        let own = in_flight().map(|attempt| attempt.tokens).sum::<f64>();
-        let guess = own * f64::from(self.context.settings.replica_count);
-        let projected = match worker.load.report {
-            Some(ReceivedReport {
-                received_at,
-                report: LoadReport { memory_utilization: Some(utilization), .. },
-            }) => {
-                // As the report ages, other routers' attempts have changed the memory in use.
-                let sent_since: f64 =
-                    in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.tokens).sum();
-                let trust = decay(self.context.now, received_at);
-                trust * (utilization * worker.memory_tokens + sent_since) + (1.0 - trust) * guess
-            }
-            _ => guess,
-        };
-        projected / worker.memory_tokens * self.context.relative_slowness(id)
+    /// The reported share of its memory in use.
+    pub fn memory_utilization(&self) -> Option<f64> {
+        self.report.and_then(|received| received.report.memory_utilization)
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,6 +1,6 @@
 //! The workers of the fleet, as discovery lists them.
 
-use super::slow_start::SlowStartBucket;
+use super::slow_start_bucket::SlowStartBucket;
 use super::worker::{LocalityShare, Worker};
 use crate::interface::{Endpoint, Micros, Role, Settings, UpdateKind, WorkerId, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,8 +11,9 @@
 //! | May it be sent again? | `retry` |
 //! | Why and how does a request end without a worker's answer? | `final_answer` |
 //! | Who owns requests and their phases? | `request` |
-//! | Who owns the fleet? | `membership`, `worker`, `slow_start`, `outlier`, `load_view`, `discovery_watch` |
-//! | Who owns what was learned? | `latency_model`, `prefix_table`, `feedback` (fed by outcomes) |
+//! | Who owns the fleet? | `membership`, `worker`, `slow_start`, `slow_start_bucket`, `outlier`, `load_view`, `discovery_watch` |
+//! | How much is waiting at a worker? | `load_estimator` |
+//! | Who owns what was learned? | `latency_model`, `prefix_table`, `decode_timeouts`, `feedback` (fed by outcomes) |
 //! | Who owns quotas? | `tenant_quotas` |
 //!
 //! The modules that decide look at all of that state through a `DecisionContext` and change nothing.
@@ -24,6 +25,7 @@
 mod attempt_plan;
 mod context;
 mod decode_choice;
+mod decode_timeouts;
 mod discovery_watch;
 mod eligibility;
 mod feedback;
@@ -31,6 +33,7 @@
 mod gossip;
 mod latency_model;
 mod lifecycle;
+mod load_estimator;
 mod load_view;
 mod membership;
 mod outlier;
@@ -39,6 +42,7 @@
 mod request;
 mod retry;
 mod slow_start;
+mod slow_start_bucket;
 mod statistics;
 mod sweep;
 mod tenant_quotas;
@@ -46,7 +50,7 @@
 
 use crate::interface::*;
 use context::DecisionContext;
-use decode_choice::DecodeTimeouts;
+use decode_timeouts::DecodeTimeouts;
 use discovery_watch::DiscoveryWatch;
 use feedback::Feedback;
 use gossip::{QueueChange, worker_digest};
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -6,6 +6,7 @@
 
 use super::context::DecisionContext;
 use super::eligibility::EligibleWorker;
+use super::load_estimator::LoadEstimator;
 use crate::hashing::unit_interval;
 use crate::interface::{RequestId, RequestSpec, Role, Stage, WorkerId};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -90,7 +91,7 @@
             PrefillCandidate {
                 target: *target,
                 relative_slowness,
-                load: self.context.load().queued_tokens(id, average_queue) * relative_slowness,
+                load: LoadEstimator::new(self.context).queued_tokens(id, average_queue) * relative_slowness,
                 uncached_tokens: self.prompt_tokens() - cached,
                 rank: xxh3_64_with_seed(id.0.as_bytes(), self.affinity_key),
             }
@@ -103,7 +104,7 @@
         let mut tokens = 0.0;
         let mut trust = 1e-9;
         for target in self.eligible {
-            let reported = self.context.load().reported_queue(target.id);
+            let reported = LoadEstimator::new(self.context).reported_queue(target.id);
             tokens += reported.tokens * reported.trust;
             trust += reported.trust;
         }
--- /dev/null
+++ b/src/policy/slow_start_bucket.rs
@@ -0,0 +1,85 @@
+//! The token bucket of one worker that warms up.
+
+use crate::interface::{Micros, Settings, WorkerId};
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// The budget of a window over what refills the buckets of all routers in it: half of the budget is left for
+/// chance.
+pub(super) const BUDGET_OVER_REFILL: f64 = 2.0;
+
+/// Standard deviations (square roots of the budget) by which chance may take a window over what refills the
+/// buckets. By the rule of overloads it is 2 over the whole budget, hence twice as many over half of it.
+const BURST_STANDARD_DEVIATIONS: f64 = 4.0;
+
+/// A worker is taken to have at least this part of its capacity, whatever the settings say.
+const LEAST_WARM_FRACTION: f64 = 0.05;
+
+/// The slow start of one worker process, as a token bucket of this router.
+#[derive(Default)]
+pub(super) struct SlowStartBucket {
+    started_at: Option<Micros>,
+    listed_at: Micros,
+    tokens: f64,
+}
+
+impl SlowStartBucket {
+    /// The bucket of a process that is listed for the first time.
+    ///
+    /// The least budget rotates among the routers, one after another from the worker's start on: a router
+    /// that restarts does not get a second token, and routers that see the worker at once do not send
+    /// together.
+    pub fn new(worker: &WorkerId, started_at: Option<Micros>, settings: &Settings, now: Micros) -> Self {
+        let replicas = u64::from(settings.replica_count.max(1));
+        let start = started_at.unwrap_or_default();
+        let first_replica = xxh3_64_with_seed(worker.0.as_bytes(), start) % replicas;
+        let slot = (first_replica + u64::from(settings.replica_index)) % replicas;
+        let windows_since_start = now.saturating_sub(start) as f64 / settings.overload_window.max(1) as f64;
+        let tokens = ((slot as f64 + 0.5 + windows_since_start) / replicas as f64).fract();
+        SlowStartBucket { started_at, listed_at: now, tokens }
+    }
+
+    /// When the process started, as listed.
+    pub fn started_at(&self) -> Option<Micros> {
+        self.started_at
+    }
+
+    /// Whether the worker is still warming up.
+    pub fn is_active(&self, settings: &Settings, now: Micros) -> bool {
+        self.started_at.is_some_and(|start| now < start.saturating_add(settings.slow_start_duration))
+    }
+
+    /// The part of its capacity that the worker has at least: it is taken to grow evenly.
+    pub fn warm_fraction(&self, settings: &Settings, now: Micros) -> f64 {
+        let age = self.started_at.map_or(f64::MAX, |start| now.saturating_sub(start) as f64);
+        let elapsed = (age / settings.slow_start_duration.max(1) as f64).min(1.0);
+        let floor = settings.slow_start_floor;
+        (floor + (1.0 - floor) * elapsed).max(LEAST_WARM_FRACTION)
+    }
+
+    /// Whether slow start lets this router send the worker an attempt now.
+    pub fn allows_attempt(&self, settings: &Settings, now: Micros) -> bool {
+        !self.is_active(settings, now) || self.tokens >= 1.0
+    }
+
+    /// Takes the token of an attempt that has been sent.
+    pub fn spend(&mut self) {
+        self.tokens -= 1.0;
+    }
+
+    /// Refills the bucket at this many tokens a microsecond for the time since `refilled_at`. What is saved
+    /// up and spent in one window comes to the whole budget and its allowance for chance. Where that is less
+    /// than a token, one that is not spent lapses: dozens of routers that saved theirs up would spend them in
+    /// one burst.
+    pub fn refill(&mut self, rate: f64, refilled_at: Micros, settings: &Settings, now: Micros) {
+        let time = now - refilled_at.max(self.listed_at).min(now);
+        let per_window = rate * settings.overload_window as f64;
+        let budget = BUDGET_OVER_REFILL * per_window * f64::from(settings.replica_count.max(1));
+        let capacity = per_window * (1.0 + BURST_STANDARD_DEVIATIONS / budget.sqrt());
+        let tokens = self.tokens + rate * time as f64;
+        self.tokens = if capacity < 1.0 {
+            if tokens >= 1.0 + capacity { tokens.fract() } else { tokens }
+        } else {
+            tokens.min(1.0)
+        };
+    }
+}
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -2,7 +2,7 @@
 
 use super::load_view::LoadView;
 use super::outlier::OutlierDetector;
-use super::slow_start::SlowStartBucket;
+use super::slow_start_bucket::SlowStartBucket;
 use super::statistics::{DecayingSum, MovingAverage, SAMPLE_WEIGHT};
 use crate::interface::{Micros, Role, WorkerStatus};
 use std::collections::BTreeMap;
