--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,9 +11,11 @@
 //! | May it be sent again? | `retry` |
 //! | Why and how does a request end without a worker's answer? | `final_answer` |
 //! | Who owns requests and their phases? | `request` |
-//! | Who owns the fleet? | `membership`, `worker`, `slow_start`, `slow_start_bucket`, `outlier`, `load_view`, `discovery_watch` |
+//! | Who owns the fleet? | `membership`, `worker`, `discovery_watch` |
+//! | Who owns the health and load of a worker? | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
 //! | How much is waiting at a worker? | `load_estimator` |
-//! | Who owns what was learned? | `latency_model`, `prefix_table`, `decode_timeouts`, `feedback` (fed by outcomes) |
+//! | Who owns what was learned? | `latency_model`, `prefix_table`, `decode_timeouts` |
+//! | What do outcomes teach? | `feedback` |
 //! | Who owns quotas? | `tenant_quotas` |
 //!
 //! The modules that decide look at all of that state through a `DecisionContext` and change nothing.
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -29,7 +29,7 @@
         }
         true
     });
-    let (bind, dead) = (Peer::nobody(), Peer::nobody());
+    let (bind, dead) = (Peer::unbound_address(), Peer::nobody());
     let text = format!(
         "# a comment\nglobal\n    maxconn 500\n    daemon\n\ndefaults\n    mode http\n    timeout connect 150ms\n    \
          timeout server 1m\n    timeout client 30s\n    retries 5\n\nfrontend \"in\"\n    bind {bind}\n    \
--- a/tests/support/peer.rs
+++ b/tests/support/peer.rs
@@ -1,8 +1,9 @@
 //! Scripted peers: servers on loopback sockets that answer as a test says.
 
 use super::{HANG_TIMEOUT, Message};
+use socket2::{Domain, Socket, Type};
 use std::io::{BufReader, ErrorKind, Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, mpsc};
 use std::thread;
 
@@ -110,9 +111,19 @@
         })
     }
 
-    /// An address at which nothing listens.
+    /// An address that refuses connections for as long as the tests run: bound, so that no other test is given its
+    /// port, and not listening.
     pub fn nobody() -> SocketAddr {
-        TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
+        let address = socket.local_addr().unwrap().as_socket().unwrap();
+        std::mem::forget(socket);
+        address
+    }
+
+    /// An address that nothing is bound to: on a loopback address of its own, whose ports no other test is given.
+    pub fn unbound_address() -> SocketAddr {
+        TcpListener::bind("127.0.0.2:0").unwrap().local_addr().unwrap()
     }
 }
 
