--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -33,8 +33,8 @@
     /// The policy's settings.
     pub settings: Settings,
     /// When workers close idle connections.
-    pub idle_close: Duration,
-    /// The JSON-RPC front for tool calls, if configured.
+    pub idle_connection_timeout: Duration,
+    /// The JSON-RPC frontend for tool calls, if configured.
     pub tools: Option<ToolSettings>,
 }
 
@@ -61,7 +61,8 @@
 
     /// The fields in which another configuration differs and that take effect at a start only.
     pub fn differences(&self, other: &Config) -> Vec<&'static str> {
-        let settings_differ = self.settings != other.settings || self.idle_close != other.idle_close;
+        let settings_differ =
+            self.settings != other.settings || self.idle_connection_timeout != other.idle_connection_timeout;
         let fields = [
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -41,7 +41,7 @@
             limits: self.limits,
             known: self.known.map(EndpointUpdate::from).unwrap_or_default(),
             settings,
-            idle_close: idle_connection_timeout(&pairs),
+            idle_connection_timeout: idle_connection_timeout(&pairs),
             tools: self.tools,
         })
     }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -28,7 +28,7 @@
     let config = from_json(&minimal()).unwrap();
     assert_eq!(config.seed, 255);
     assert_eq!(config.limits, Limits { memory_mb: 192, sockets: 1024 });
-    assert_eq!(config.idle_close, Duration::from_secs(30));
+    assert_eq!(config.idle_connection_timeout, Duration::from_secs(30));
     assert!(config.discovery.is_none() && config.tools.is_none());
 }
 
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -149,7 +149,7 @@
             return;
         }
         self.last_eviction.set(Some(Instant::now()));
-        let retention = Duration::from_secs(self.settings.remember_s);
+        let retention = Duration::from_secs(self.settings.retention_s);
         self.entries.borrow_mut().evict_completed(retention);
         self.client.close_expired_connections();
     }
@@ -171,7 +171,7 @@
             self.counters.tool_replays.increment();
             return Ok(entry.outcome.clone());
         }
-        if key.ordinal >= self.settings.max_calls {
+        if key.ordinal >= self.settings.max_calls_per_request {
             return Err(ToolCallError::NoCapacity);
         }
         let id = key.tool_request_id();
@@ -190,8 +190,8 @@
     /// could run a second time.
     fn is_full(&self) -> bool {
         let entries = self.entries.borrow();
-        entries.by_key.len() >= self.settings.max_entries
-            || entries.bytes + ENTRY_OVERHEAD_BYTES > self.settings.max_ledger_bytes
+        entries.by_key.len() >= self.settings.max_replay_entries
+            || entries.bytes + ENTRY_OVERHEAD_BYTES > self.settings.max_replay_bytes
     }
 
     /// Makes the entry of a call and starts the call in a task of its own.
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -93,13 +93,13 @@
     /// A client without connections yet.
     pub fn new(settings: &ToolSettings, connect_timeout: Duration, counters: Rc<Counters>) -> Self {
         let limits = PoolLimits {
-            sockets: settings.max_calls_at_once,
+            sockets: settings.max_concurrent_calls,
             connect_timeout,
             idle_timeout: IDLE_TIMEOUT,
             trailing_bytes_wait: TRAILING_BYTES_WAIT,
         };
         ToolClient {
-            address: settings.dial,
+            address: settings.address,
             path: settings.path.clone(),
             call_timeout: settings.call_timeout(),
             max_result_bytes: settings.max_result_bytes,
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -120,7 +120,7 @@
         let limits = PoolLimits {
             sockets: sockets.upstream,
             connect_timeout,
-            idle_timeout: config.idle_close / IDLE_TIME_DIVISOR,
+            idle_timeout: config.idle_connection_timeout / IDLE_TIME_DIVISOR,
             trailing_bytes_wait: TRAILING_BYTES_WAIT,
         };
         SharedParts {
--- a/src/process/sockets.rs
+++ b/src/process/sockets.rs
@@ -28,7 +28,7 @@
     /// # Errors
     /// There are too few.
     pub fn divide(config: &Config) -> Result<Self, StartError> {
-        let tool_calls = config.tools.as_ref().map_or(0, |tools| tools.max_calls_at_once);
+        let tool_calls = config.tools.as_ref().map_or(0, |tools| tools.max_concurrent_calls);
         let sockets = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + tool_calls);
         let upstream = sockets * UPSTREAM_TWENTIETHS / 20;
         if upstream < MIN_UPSTREAM_SOCKETS {
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -17,29 +17,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// A request has one attempt in flight at a time, unless hedging is allowed.
-    OneAttemptInFlight,
+    SingleAttemptInFlight,
     /// A request has no more attempts than the settings allow.
     AttemptLimit,
     /// Nothing is sent for a request that has its final answer.
-    NothingAfterAnswer,
+    NoAttemptAfterResponse,
     /// A request that is not idempotent does not run twice.
     AtMostOnce,
     /// A request is only rejected if retrying it is harmless.
-    HarmlessRejection,
+    RejectionSafeToRetry,
     /// Each request has its final answer within the tolerance after its deadline.
-    AnswerInTime,
+    FinalResponse,
     /// No KV cache is held for a request that is over.
     CacheReleased,
 }
 
 impl Invariant {
     const ALL: [Invariant; 7] = [
-        Invariant::OneAttemptInFlight,
+        Invariant::SingleAttemptInFlight,
         Invariant::AttemptLimit,
-        Invariant::NothingAfterAnswer,
+        Invariant::NoAttemptAfterResponse,
         Invariant::AtMostOnce,
-        Invariant::HarmlessRejection,
-        Invariant::AnswerInTime,
+        Invariant::RejectionSafeToRetry,
+        Invariant::FinalResponse,
         Invariant::CacheReleased,
     ];
 }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -29,10 +29,10 @@
 /// The invariant that the attempt would break.
 pub fn check_attempt(request: &RequestFacts) -> Result<(), Invariant> {
     if request.is_answered {
-        return Err(Invariant::NothingAfterAnswer);
+        return Err(Invariant::NoAttemptAfterResponse);
     }
     if request.attempts_in_flight > 0 && !request.hedging_allowed {
-        return Err(Invariant::OneAttemptInFlight);
+        return Err(Invariant::SingleAttemptInFlight);
     }
     if request.attempts >= request.max_attempts {
         return Err(Invariant::AttemptLimit);
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -54,7 +54,7 @@
         let Some(active) = self.requests.get_mut(request) else { return };
         if !active.is_answered() && !active.is_rejection_harmless() {
             let detail = format!("failed instead of rejected ({reason:?})");
-            self.counters.violations.record(Invariant::HarmlessRejection, active.id(), detail);
+            self.counters.violations.record(Invariant::RejectionSafeToRetry, active.id(), detail);
             return self.fail(request, reason);
         }
         let Some(responder) = active.take_responder() else { return };
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -22,7 +22,7 @@
             return;
         };
         let detail = "no decision by its deadline, ended by the driver";
-        self.counters.violations.record(Invariant::AnswerInTime, active.id(), detail);
+        self.counters.violations.record(Invariant::FinalResponse, active.id(), detail);
         active.cancel_all();
         self.release_cache(request);
         self.end_request(request, DriverEndReason::AnswerDeadlineExceeded);
