--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,7 +1,7 @@
-//! Limits on the size of the policy's modules.
+//! Limits on the size of source files.
 
 use std::fs;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 const MAX_LINES: usize = 400;
 const MAX_COLUMNS: usize = 110;
@@ -29,3 +29,28 @@
     let text = fs::read_to_string(policy_folder().join("mod.rs")).unwrap();
     assert!(text.lines().take(3).any(|l| l.contains("src/interface/")));
 }
+
+#[test]
+fn source_files_are_at_most_400_lines() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut files = Vec::new();
+    for folder in ["src", "tests", "examples", "crates"] {
+        collect_source_files(&root.join(folder), &mut files);
+    }
+    assert!(files.len() > 100, "only {} source files were found", files.len());
+    for file in files {
+        let lines = fs::read_to_string(&file).unwrap().lines().count();
+        assert!(lines <= MAX_LINES, "{}: {lines} lines", file.display());
+    }
+}
+
+fn collect_source_files(folder: &Path, files: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            collect_source_files(&path, files);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            files.push(path);
+        }
+    }
+}
--- a/tests/policy_slow_start.rs
+++ b/tests/policy_slow_start.rs
@@ -62,6 +62,18 @@
     assert!(at_once <= 2, "{at_once} of 20 routers sent to the starting worker at once");
 }
 
+/// The name of a shared prefix whose home is another worker of the fleet than `worker`.
+fn prefix_with_another_home(fleet: &[Endpoint], worker: &str) -> String {
+    let has_another_home = |name: &String| {
+        let mut rig = Rig::new(settings());
+        rig.update_endpoints(UpdateKind::Restored, fleet.to_vec());
+        let prefix = Some(name.as_str().into());
+        let spec = RequestSpec { prefix, prefix_tokens: 1_990, ..request_spec(rig.now, "idempotent") };
+        send_targets(&rig.receive(spec)) != [worker]
+    };
+    (0..).map(|i| format!("p{i}")).find(has_another_home).unwrap()
+}
+
 /// A worker is overloaded by the sum of what all routers send: tokens that were saved up in a quiet period must not be
 /// spent together on one burst.
 #[test]
@@ -69,18 +81,7 @@
     const ROUTERS: u32 = 30;
     let names = ["r3", "r1", "r2", "w1"];
     let fleet = names.map(|w| endpoint(w, 0, WorkerStatus::Ready, None));
-    // A prefix whose home is a warm worker, also beside the starting one.
-    let at_home = |name: &String| {
-        let mut rig = Rig::new(settings());
-        rig.update_endpoints(UpdateKind::Restored, fleet.to_vec());
-        let prefix = Some(name.as_str().into());
-        send_targets(&rig.receive(RequestSpec {
-            prefix,
-            prefix_tokens: 1_990,
-            ..request_spec(rig.now, "idempotent")
-        })) != ["r3"]
-    };
-    let prefix_name = (0..).map(|i| format!("p{i}")).find(at_home).unwrap();
+    let prefix_name = prefix_with_another_home(&fleet, "r3");
     let (mut burst, mut quiet) = (0, 0);
     for index in 0..ROUTERS {
         let set = Settings { replica_count: ROUTERS, replica_index: index, ..settings() };
