--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -1,7 +1,6 @@
 //! Handles the requests of clients: routes them by path, checks them, and submits them to the driver.
 
-use crate::frontend::context::ActiveRequestId;
-pub use crate::frontend::context::ServiceContext;
+use crate::frontend::context::{ActiveRequestId, ServiceContext};
 use crate::frontend::error::{RETRY_AFTER, RequestError};
 use crate::frontend::jsonrpc::JsonRpcService;
 use crate::frontend::platform::{self, ParsedRequest};
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -6,7 +6,7 @@
 use crate::net::server::connection_handler::{ConnectionHandler, LimitedHandler};
 use crate::net::server::connections::{Connections, EvictionResult};
 use crate::net::server::handler::RequestHandler;
-pub use crate::net::server::shutdown_phase::ShutdownPhase;
+use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::counters::Counters;
 use std::io;
 use std::rc::Rc;
@@ -162,7 +162,8 @@
         self.counters.client_connections.increment();
         let client = ClientSocket::new(self.connections.next_number(), Rc::new(stream));
         let slot = self.connections.register(client.clone());
-        let is_over_limit = self.is_over_limit();
+        let eviction = self.evict_ahead_of_need();
+        let is_over_limit = self.is_over_limit(eviction);
         log::debug!("connection {}: accepted, {} are open", client.number(), self.connections.count());
         if is_over_limit {
             self.counters.connections_rejected.increment();
@@ -182,15 +183,18 @@
         });
     }
 
-    /// Whether the connection that was registered last is to be rejected.
-    ///
-    /// From three quarters of the limit on each further connection evicts a settled one, ahead of need: clients that
-    /// keep their connections open for good would otherwise leave nothing for a burst.
-    fn is_over_limit(&self) -> bool {
+    /// Evicts a settled connection for the one that was registered last, from three quarters of the limit on: clients
+    /// that keep their connections open for good would otherwise leave nothing for a burst.
+    fn evict_ahead_of_need(&self) -> EvictionResult {
         if self.connections.count() <= self.max_connections * 3 / 4 {
-            return false;
+            return EvictionResult::NotNeeded;
         }
-        let eviction = self.connections.evict_early(&self.counters);
+        self.connections.evict_early(&self.counters)
+    }
+
+    /// Whether the requests of the connection that was registered last are to be rejected: it is over the limit, and
+    /// no other connection could be evicted for it.
+    fn is_over_limit(&self, eviction: EvictionResult) -> bool {
         eviction == EvictionResult::NoCandidate && self.connections.count() > self.max_connections
     }
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -42,7 +42,13 @@
         }
         // The client takes nothing more: there is no response to protect from a reset.
         CloseReason::WriteTimeout | CloseReason::ClientDisconnected => return,
-        CloseReason::Completed | CloseReason::Idle | CloseReason::Evicted | CloseReason::Shutdown => {}
+        CloseReason::Completed
+        | CloseReason::StreamBroken
+        | CloseReason::ConnectionError
+        | CloseReason::Silent
+        | CloseReason::Idle
+        | CloseReason::Evicted
+        | CloseReason::Shutdown => {}
     }
     close_lingering(&client).await;
 }
@@ -100,13 +106,16 @@
     }
 }
 
-/// Why the connection ends after hyper has finished with it.
+/// Why the connection ends after hyper has finished with it. What is no malformed request differs in the log alone.
 fn close_reason_of_http(client: &ClientSocket, result: hyper::Result<()>) -> CloseReason {
     let Err(error) = result else { return CloseReason::Completed };
     log::debug!("connection {}: {error}", client.number());
     if error.is_parse() || error.is_parse_too_large() {
         CloseReason::MalformedRequest
+    } else if error.is_user() {
+        // The only error of the service that hyper meets: the handler itself is infallible.
+        CloseReason::StreamBroken
     } else {
-        CloseReason::Completed
+        CloseReason::ConnectionError
     }
 }
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -4,6 +4,7 @@
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::handler::{HandlerBody, RequestHandler};
 use crate::net::server::received_request::ReceivedRequest;
+use crate::net::server::request_label::RequestLabel;
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::server::tracked_body::TrackedBody;
 use crate::runtime::counters::Counters;
@@ -39,6 +40,7 @@
 }
 
 impl<H: RequestHandler> ConnectionHandler<H> {
+    /// Answers a request, and marks the response as the connection's last where it is.
     async fn respond(self, request: Request<Incoming>) -> Response<TrackedBody<H::Body>> {
         let mut response = self.handle(request).await;
         if self.is_last_response() {
@@ -51,16 +53,18 @@
         response.map(|body| TrackedBody::new(body, self.client))
     }
 
+    /// Passes a request to the handler, or rejects it because the connection or the request is over a limit.
     async fn handle(&self, request: Request<Incoming>) -> Response<H::Body> {
         let client = &self.client;
+        let label = RequestLabel::new(&request);
         if self.is_over_limit {
-            log::debug!("connection {}: request rejected: too many connections", client.number());
+            log::debug!("connection {}: {label} rejected: too many connections", client.number());
             return self.handler.overload_response();
         }
         let received = ReceivedRequest { request, client: client.clone(), shutdown: self.shutdown.clone() };
         // The handler itself does not fail: an error is the limit's.
         let Ok(response) = self.limited.clone().oneshot(received).await else {
-            log::debug!("connection {}: request rejected: too many requests wait", client.number());
+            log::debug!("connection {}: {label} rejected: too many requests wait", client.number());
             self.counters.requests_shed.increment();
             return self.handler.overload_response();
         };
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -10,7 +10,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection idle for less than this is not evicted early: a client that has just connected gets to send its request.
+/// A connection idle for less than this is not evicted early: a client that has just connected gets to send its
+/// request.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
 /// The same for a connection whose request has not arrived completely.
 const MIN_ARRIVAL_BEFORE_EVICTION: Duration = Duration::from_millis(400);
@@ -23,13 +24,15 @@
     slot_released: Notify,
 }
 
-/// Whether a connection could be evicted for others.
+/// What became of an attempt to evict a connection for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionResult {
     /// A connection was told to close. It may still be answered first, if a request arrives at this moment.
     Requested,
     /// There is no connection that may be closed.
     NoCandidate,
+    /// There are slots enough: no connection was considered.
+    NotNeeded,
 }
 
 /// The order in which connections are evicted: by variant, then the longest in its phase first.
@@ -88,6 +91,8 @@
         self.evict(Eviction::Immediate, |_| true, counters)
     }
 
+    /// Tells the connection that ranks first to close: among those whose phase satisfies `may_evict`, that are not
+    /// being answered, have not been told as urgently before, and have written out their last response.
     fn evict(
         &self,
         eviction: Eviction,
@@ -110,6 +115,8 @@
             return EvictionResult::NoCandidate;
         };
         client.evict(eviction);
+        let urgency = if eviction == Eviction::Immediate { "at once" } else { "early" };
+        log::debug!("connection {}: to be evicted {urgency}, {} open", client.number(), open.len());
         counters.connections_evicted.increment();
         EvictionResult::Requested
     }
--- a/src/net/server/lingering_close.rs
+++ b/src/net/server/lingering_close.rs
@@ -37,7 +37,7 @@
 ///
 /// Dropped early, it leaves the sending side shut down.
 async fn shut_down_and_wait_for_client(client: &Rc<ClientSocket>) {
-    let _ = Socket::new(client.stream().clone()).end();
+    let _ = Socket::new(client.stream().clone()).shutdown_write();
     // The second branch never resolves: it only reads for as long as the client is there.
     tokio::select! {
         () = client.disconnected() => {}
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -15,6 +15,7 @@
 pub mod memory_budget;
 mod read_gate;
 pub mod received_request;
+pub mod request_label;
 pub mod shutdown_phase;
 mod socket_probe;
 mod tracked_body;
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Observes the writes of a [`Socket`], and may refuse them.
+/// Observes the writes of a [`Socket`], and may prevent them.
 pub trait WriteMonitor {
     /// Called directly before each write, in the same poll: no other task runs between this call and the
     /// write.
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     /// The system call failed: the connection is closed already.
-    pub fn end(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         SockRef::from(&*self.stream).shutdown(Shutdown::Write)
     }
 
@@ -184,6 +184,7 @@
         self.since.get_or_insert_with(Instant::now).elapsed()
     }
 
+    /// Begins the pause before the next call.
     fn begin_pause(&mut self) {
         self.pause = Some(Box::pin(tokio::time::sleep(LOCAL_RETRY_PAUSE)));
     }
@@ -197,6 +198,7 @@
         Poll::Ready(())
     }
 
+    /// A call has succeeded: the shortage is over.
     fn end(&mut self) {
         self.since = None;
     }
@@ -239,6 +241,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.end())
+        Poll::Ready(self.shutdown_write())
     }
 }
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -66,11 +66,18 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// HTTP ends it: its last answer was given, or its client closed first.
+    /// HTTP ends it: its last answer was given, or its client closed between two requests.
     Completed,
+    /// The body of an answer failed: the stream of its worker broke. Handled as [`CloseReason::Completed`].
+    StreamBroken,
+    /// The socket failed, or the client closed in the middle of a request. Handled as
+    /// [`CloseReason::Completed`].
+    ConnectionError,
     /// What was received is no valid HTTP.
     MalformedRequest,
-    /// Nothing was received for too long.
+    /// Nothing was received since its accept.
+    Silent,
+    /// Nothing was received for too long after its last answer.
     Idle,
     /// Its slot is needed for others.
     Evicted,
@@ -88,7 +95,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             CloseReason::Completed => "completed",
+            CloseReason::StreamBroken => "stream broken",
+            CloseReason::ConnectionError => "connection error",
             CloseReason::MalformedRequest => "malformed request",
+            CloseReason::Silent => "silent",
             CloseReason::Idle => "idle",
             CloseReason::Evicted => "evicted",
             CloseReason::Shutdown => "shutdown",
@@ -119,7 +129,7 @@
         ConnectionPhase::Idle(_) if is_closing_phase => {
             Some((accepted + SILENT_TIMEOUT_AT_SHUTDOWN, CloseReason::Shutdown))
         }
-        ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Idle)),
+        ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Silent)),
         ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted, overdue)),
         ConnectionPhase::ReceivingRequest(_) if !has_answered => Some((accepted + REQUEST_TIMEOUT, overdue)),
         ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue)),
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -2,9 +2,11 @@
 
 mod support;
 
-use llm_router::net::server::accept::{RESERVED_CONNECTIONS, ShutdownPhase};
+use llm_router::net::server::accept::RESERVED_CONNECTIONS;
 use llm_router::net::server::client_socket::ClientSocket;
 use llm_router::net::server::gated_socket::GatedSocket;
+use llm_router::net::server::shutdown_phase::ShutdownPhase;
+use llm_router::rules::close::{CloseReason, ConnectionFacts, ConnectionPhase, Eviction, close_due};
 use rstest::rstest;
 use std::future::poll_fn;
 use std::io::Write;
@@ -240,3 +242,25 @@
     drop(client);
     socket.disconnected().await;
 }
+
+/// A connection whose client has sent nothing since its accept is told from one that is idle after a response, by its
+/// timeout and in the log.
+#[rstest]
+#[case::silent(false, Duration::from_millis(2_200), CloseReason::Silent)]
+#[case::idle(true, Duration::from_secs(30), CloseReason::Idle)]
+fn a_silent_connection_is_closed_for_another_reason_than_an_idle_one(
+    #[case] has_answered: bool,
+    #[case] timeout: Duration,
+    #[case] reason: CloseReason,
+) {
+    let now = Instant::now();
+    let facts = ConnectionFacts {
+        phase: ConnectionPhase::Idle(now),
+        accepted: now,
+        has_answered,
+        is_write_blocked: false,
+        eviction: Eviction::None,
+        is_closing_phase: false,
+    };
+    assert_eq!(close_due(&facts), Some((now + timeout, reason)));
+}
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use llm_router::net::server::accept::ShutdownPhase;
+use llm_router::net::server::shutdown_phase::ShutdownPhase;
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::sync::{Arc, Mutex, mpsc};
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,11 +1,13 @@
 //! The server side alone, in the process of the test: a listener whose driver is played by the test.
 #![allow(dead_code)]
 
-use llm_router::frontend::service::{RequestService, ServiceContext};
+use llm_router::frontend::context::ServiceContext;
+use llm_router::frontend::service::RequestService;
 use llm_router::interface::{RequestId, RequestSpec};
-use llm_router::net::server::accept::{Listener, ShutdownPhase};
+use llm_router::net::server::accept::Listener;
 use llm_router::net::server::connections::Connections;
 use llm_router::net::server::memory_budget::MemoryBudget;
+use llm_router::net::server::shutdown_phase::ShutdownPhase;
 use llm_router::runtime::counters::Counters;
 use llm_router::runtime::exchange::{ForwardedRequest, Responder};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
