--- a/src/frontend/error.rs
+++ b/src/frontend/error.rs
@@ -11,6 +11,8 @@
 pub const RETRY_AFTER: Micros = 500_000;
 
 /// Why a request is not submitted to the driver.
+///
+/// The `Display` texts are for the log, whose lines name the connection and the request themselves.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The end of its body can be read in several ways (request smuggling).
@@ -38,30 +40,24 @@
     #[error("more bytes than the length says")]
     ExcessBytes,
     /// Another active request has the same id.
-    #[error("request {id}: a request with this id is active")]
-    DuplicateId {
-        /// The id of both.
-        id: String,
-    },
+    #[error("a request with this id is active")]
+    DuplicateId,
     /// The bodies of active requests take all the memory that they may.
     #[error("no memory left for request bodies")]
     MemoryBudgetExhausted,
     /// The client had disconnected before the request was submitted.
-    #[error("request {id}: its client has disconnected")]
-    ClientDisconnected {
-        /// The request's id.
-        id: String,
-    },
+    #[error("its client has disconnected")]
+    ClientDisconnected,
     /// The request arrived in the closing phase of a graceful shutdown.
-    #[error("request {id}: it arrived in the closing phase of a shutdown")]
-    ShuttingDown {
-        /// The request's id.
-        id: String,
-    },
+    #[error("it arrived in the closing phase of a shutdown")]
+    ShuttingDown,
 }
 
 impl RequestError {
-    /// The response to the client, whose text is part of the protocol. Counts the error.
+    /// The response to the client. Counts the error.
+    ///
+    /// The texts of the bodies are fixed by the protocol with clients: there a request that is "in hand" is an active
+    /// one, and a "refused" one has been rejected.
     pub fn into_response(self, counters: &Counters) -> Response<ResponseBody> {
         let malformed = |status, text: Bytes| {
             counters.requests_malformed.increment();
@@ -84,18 +80,18 @@
             RequestError::ExcessBytes => {
                 malformed(StatusCode::BAD_REQUEST, "more bytes than the length says\n".into())
             }
-            RequestError::DuplicateId { .. } => {
+            RequestError::DuplicateId => {
                 malformed(StatusCode::CONFLICT, "a request with this id is in hand\n".into())
             }
             RequestError::MemoryBudgetExhausted => {
                 counters.requests_shed.increment();
                 platform::rejection(Some(RETRY_AFTER))
             }
-            RequestError::ClientDisconnected { .. } => {
+            RequestError::ClientDisconnected => {
                 counters.client_disconnects.increment();
                 platform::rejection(None)
             }
-            RequestError::ShuttingDown { .. } => {
+            RequestError::ShuttingDown => {
                 counters.rejected_at_shutdown.increment();
                 platform::rejection(Some(RETRY_AFTER))
             }
--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -17,9 +17,6 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The length of one token where a client does not state its prompt's.
-const BYTES_PER_TOKEN: u64 = 4;
-
 /// What the relay of an answer needs of its call.
 pub struct CallContext {
     /// The id of the client's request, for the response.
@@ -80,6 +77,12 @@
         let mut active_call = self.active_calls.register(params.name.as_str().into(), resumes)?;
         let spec = self.request_spec(params, request.method, body.len(), client);
         let forwarded = self.forwarded_request(active_call.number(), body, client);
+        log::debug!(
+            "connection {}: JSON-RPC request {} is request {}",
+            client.number(),
+            active_call.name(),
+            forwarded.id
+        );
         let pending = self.context.driver.submit_request(spec, forwarded);
         // Not biased: a cancellation that is ready together with the answer may win or lose. Where it wins, the pending
         // response is dropped, which cancels the request at the driver.
@@ -106,7 +109,7 @@
         body_bytes: usize,
         client: &ClientSocket,
     ) -> RequestSpec {
-        let prompt_tokens = params.prompt_tokens.unwrap_or(body_bytes as u64 / BYTES_PER_TOKEN);
+        let prompt_tokens = params.prompt_tokens.unwrap_or(body_bytes as u64 / platform::BYTES_PER_TOKEN);
         RequestSpec {
             request: RequestId(0),
             deadline: self.context.driver.clock.ago(client.pipeline_wait()) + params.deadline_ms * 1000,
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -9,7 +9,8 @@
 
 /// Why the router answers a client's request with an error.
 ///
-/// The `Display` text is the message of the error object, so it is a part of the protocol.
+/// The `Display` text is the message of the error object, so it is fixed by the protocol with clients: there a request
+/// that is "in hand" is an active one, and a "refused" one has been rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RpcError {
     /// The body is no JSON.
--- a/src/frontend/jsonrpc/output.rs
+++ b/src/frontend/jsonrpc/output.rs
@@ -4,15 +4,13 @@
 use super::relay_error::RelayError;
 use crate::net::Local;
 use crate::net::server::client_socket::ClientSocket;
+use crate::rules::close::CLIENT_WRITE_TIMEOUT;
 use crate::runtime::exchange::Frame;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::sync::mpsc;
 
 /// Lines that may wait for a slow client before the relay waits too.
 const LINE_BUFFER: usize = 16;
-/// A client that takes no line for this long is treated as disconnected.
-const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The most text that is collected for one answer of a batch.
 const MAX_COLLECTED_BYTES: usize = 256 * 1024;
 
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -6,7 +6,7 @@
 use super::protocol::{AnswerResult, RpcRequest, encode_result, encode_rpc_error};
 use super::relay_error::RelayError;
 use super::replay_buffer::{ReplayBuffer, ToolCallKey};
-use super::sse::EventParser;
+use super::sse::SseDecoder;
 use super::tool_call::ToolCallRelay;
 use super::worker_event::{AnswerChunk, WorkerEvent};
 use crate::runtime::exchange::{DisconnectGuard, Frame, ResponseStream};
@@ -20,7 +20,7 @@
     stream: ResponseStream,
     context: CallContext,
     replay_buffer: Rc<ReplayBuffer>,
-    events: EventParser,
+    events: SseDecoder,
     finish_reason: String,
     usage: Option<Box<RawValue>>,
 }
@@ -33,7 +33,7 @@
             stream: call.stream,
             context: call.context,
             replay_buffer,
-            events: EventParser::default(),
+            events: SseDecoder::default(),
             finish_reason: "stop".into(),
             usage: None,
         }
--- a/src/frontend/jsonrpc/relay_error.rs
+++ b/src/frontend/jsonrpc/relay_error.rs
@@ -1,7 +1,7 @@
 //! Why the relay of an answer ends early.
 
 use super::active_calls::Interruption;
-use super::sse::EventStreamError;
+use super::sse::SseError;
 use super::worker_event::WorkerEventError;
 
 /// Why a relay ended before its answer was complete.
@@ -30,7 +30,7 @@
     ToolResultNotAccepted,
     /// The stream is no stream of events.
     #[error("reading the decode worker's stream: {0}")]
-    EventStream(#[from] EventStreamError),
+    EventStream(#[from] SseError),
     /// An event means nothing to the router.
     #[error("reading an event of the decode worker: {0}")]
     Event(#[from] WorkerEventError),
--- a/src/frontend/jsonrpc/sse.rs
+++ b/src/frontend/jsonrpc/sse.rs
@@ -9,7 +9,7 @@
 
 /// Why a byte stream can't be read as events.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum EventStreamError {
+pub enum SseError {
     /// More bytes wait than the buffer may hold.
     #[error("{0} bytes wait for their events to be relayed, more than may be buffered")]
     BufferFull(usize),
@@ -21,13 +21,14 @@
     NotUtf8(#[from] std::str::Utf8Error),
 }
 
-/// Collects bytes and gives out whole events.
+/// Collects bytes and gives out the data of whole events. That the bytes are events at all has been checked by
+/// [`EventStream`](crate::net::upstream::event_stream::EventStream), which passes them on unchanged.
 #[derive(Default)]
-pub struct EventParser {
+pub struct SseDecoder {
     buffer: BytesMut,
 }
 
-impl EventParser {
+impl SseDecoder {
     /// The bytes that wait.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
@@ -37,10 +38,10 @@
     ///
     /// # Errors
     /// Too many bytes wait.
-    pub fn push(&mut self, data: &[u8]) -> Result<(), EventStreamError> {
+    pub fn push(&mut self, data: &[u8]) -> Result<(), SseError> {
         self.buffer.extend_from_slice(data);
         if self.buffer.len() > MAX_BUFFERED_BYTES {
-            return Err(EventStreamError::BufferFull(self.buffer.len()));
+            return Err(SseError::BufferFull(self.buffer.len()));
         }
         Ok(())
     }
@@ -49,7 +50,7 @@
     ///
     /// # Errors
     /// The next event is too long or not UTF-8.
-    pub fn next_event(&mut self) -> Result<Option<String>, EventStreamError> {
+    pub fn next_event(&mut self) -> Result<Option<String>, SseError> {
         let mut data = String::new();
         let mut position = 0;
         while let Some(length) = self.buffer[position..].iter().position(|byte| *byte == b'\n') {
@@ -68,7 +69,7 @@
             }
         }
         if self.buffer.len() > MAX_EVENT_BYTES {
-            return Err(EventStreamError::EventTooLong(MAX_EVENT_BYTES));
+            return Err(SseError::EventTooLong(MAX_EVENT_BYTES));
         }
         Ok(None)
     }
--- a/src/frontend/jsonrpc/sse/tests.rs
+++ b/src/frontend/jsonrpc/sse/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the event parser.
+//! Tests of the event decoder.
 
 use super::*;
 
@@ -6,11 +6,11 @@
 fn events_come_out_whole_wherever_the_bytes_are_cut() {
     let wire = b": hello\r\ndata: {\"a\":1}\r\n\r\nevent: x\ndata: one\ndata: two\n\ndata: rest";
     for cut in 0..wire.len() {
-        let mut parser = EventParser::default();
+        let mut decoder = SseDecoder::default();
         let mut seen = Vec::new();
         for part in [&wire[..cut], &wire[cut..]] {
-            parser.push(part).unwrap();
-            while let Some(event) = parser.next_event().unwrap() {
+            decoder.push(part).unwrap();
+            while let Some(event) = decoder.next_event().unwrap() {
                 seen.push(event);
             }
         }
--- a/src/frontend/jsonrpc/tool_call.rs
+++ b/src/frontend/jsonrpc/tool_call.rs
@@ -6,7 +6,7 @@
 use super::protocol::{Notification, RpcRequest, ToolState, encode_error, encode_result};
 use super::relay_error::RelayError;
 use super::replay_buffer::{ReplayBuffer, ToolCallKey};
-use super::sse::{EventParser, MAX_EVENT_BYTES};
+use super::sse::{MAX_EVENT_BYTES, SseDecoder};
 use super::tool_client::{ToolOutcome, ToolReply};
 use crate::runtime::exchange::{Frame, ResponseStream};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     /// The worker's stream.
     pub stream: &'a mut ResponseStream,
     /// Collects what the worker streams meanwhile.
-    pub events: &'a mut EventParser,
+    pub events: &'a mut SseDecoder,
     /// The client's call.
     pub active_call: &'a mut ActiveCall,
     /// Where the client is notified.
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -109,7 +109,7 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn close_expired_connections(&self) {
+    pub fn close_expired(&self) {
         self.pool.retire();
     }
 
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -17,8 +17,9 @@
 const MAX_TOKENS: u64 = 100_000_000;
 /// The longest session, prefix or tenant name that is taken into account, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// How many bytes of a body are taken for one token where the prompt's length is not stated.
-const BYTES_PER_TOKEN: u64 = 4;
+/// How many bytes of a body are taken for one token where a client does not state its prompt's length, over either
+/// protocol.
+pub const BYTES_PER_TOKEN: u64 = 4;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), or that are written anew for each attempt.
 const NOT_FORWARDED: [HeaderName; 12] = [
@@ -221,7 +222,7 @@
     }
 }
 
-/// A rejection, which promises the client that a retry does no harm.
+/// A rejection, which promises the client that a retry does no harm. Its text, "refused", is fixed by the protocol.
 pub fn rejection(retry_after: Option<Micros>) -> Response<ResponseBody> {
     let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(value) = retry_after.and_then(|wait| format!("{:.3}", wait as f64 / 1e6).parse().ok()) {
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -12,6 +12,7 @@
 use crate::net::server::handler::RequestHandler;
 use crate::net::server::memory_budget::MemoryReservation;
 use crate::net::server::received_request::ReceivedRequest;
+use crate::net::server::request_label::RequestLabel;
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::runtime::exchange::ForwardedRequest;
 use hyper::body::Incoming;
@@ -44,18 +45,35 @@
 }
 
 impl RequestService {
+    /// Answers one request. What can't be submitted to the driver is answered, counted and logged here.
     async fn respond(self, received: ReceivedRequest) -> Response<ResponseBody> {
         let ReceivedRequest { request, client, shutdown } = received;
+        let label = RequestLabel::new(&request);
         let result = match client.next_head_framing() {
             HeadFraming::Ambiguous => Err(RequestError::AmbiguousFraming),
             HeadFraming::Unambiguous => self.route(request, &client, &shutdown).await,
         };
         result.unwrap_or_else(|error| {
-            log::debug!("connection {}: request rejected: {error}", client.number());
-            error.into_response(&self.context.counters)
+            let reason = error.to_string();
+            let response = error.into_response(&self.context.counters);
+            // Only a 503 is a rejection, which promises that a retry does no harm.
+            match response.status() {
+                StatusCode::SERVICE_UNAVAILABLE => {
+                    log::debug!("connection {}: {label} rejected: {reason}", client.number());
+                }
+                status => {
+                    let status = status.as_u16();
+                    log::debug!("connection {}: {label} answered with {status}: {reason}", client.number());
+                }
+            }
+            response
         })
     }
 
+    /// Passes a request to the protocol that is served at its path.
+    ///
+    /// # Errors
+    /// Nothing is served at its path with its method, or the request can't be submitted to the driver.
     async fn route(
         &self,
         request: Request<Incoming>,
@@ -81,6 +99,7 @@
         }
     }
 
+    /// The response to a health check.
     fn health(&self) -> Response<ResponseBody> {
         if (self.context.ready)() {
             plain_text(StatusCode::OK, "ready\n")
@@ -104,9 +123,9 @@
         }
         let body = read_body(body, client, &self.context.body_memory).await?;
         parsed.complete_spec(body.bytes.len());
-        check_can_be_submitted(&parsed.id, client, shutdown)?;
+        check_can_be_submitted(client, shutdown)?;
         let active_id = self.context.active_ids.claim(&parsed.id);
-        let active_id = active_id.ok_or_else(|| RequestError::DuplicateId { id: parsed.id.clone() })?;
+        let active_id = active_id.ok_or(RequestError::DuplicateId)?;
         log::debug!("request {}: received on connection {}", parsed.id, client.number());
         let ParsedRequest { id, spec, .. } = parsed;
         let pending = driver.submit_request(spec, forwarded_request(id, head, body, active_id, client));
@@ -117,16 +136,15 @@
 
 /// Checks what may have changed while the request waited behind an earlier one, or to be accepted.
 fn check_can_be_submitted(
-    id: &str,
     client: &ClientSocket,
     shutdown: &watch::Receiver<ShutdownPhase>,
 ) -> Result<(), RequestError> {
     if client.has_disconnected() {
-        return Err(RequestError::ClientDisconnected { id: id.to_owned() });
+        return Err(RequestError::ClientDisconnected);
     }
     // The process may end before the deadline of a request that arrives this late; sent elsewhere, nothing of it is lost.
     if *shutdown.borrow() == ShutdownPhase::Closing {
-        return Err(RequestError::ShuttingDown { id: id.to_owned() });
+        return Err(RequestError::ShuttingDown);
     }
     Ok(())
 }
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -7,6 +7,7 @@
 use crate::net::upstream::event_stream::{EventStream, EventStreamError, StreamPart};
 use crate::net::upstream::response::StartedStream;
 use crate::net::upstream::stream_tail::StreamTail;
+use crate::rules::close::CLIENT_WRITE_TIMEOUT;
 use crate::runtime::exchange::{Frame, Reply, ResponseStreamSender, response_stream};
 use crate::runtime::{Attempt, DriverInput};
 use std::time::Duration;
@@ -18,8 +19,6 @@
 const EVENT_TIMEOUT: Duration = Duration::from_millis(4500);
 /// A reply that the worker has not taken within this counts as not delivered.
 const REPLY_TIMEOUT: Duration = EVENT_TIMEOUT;
-/// A client that takes nothing of its stream for this long is gone.
-const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a stream is broken after its first event.
 #[derive(Debug, thiserror::Error)]
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -17,8 +17,9 @@
 /// worker has the session's text cached. Its connection is closed after this, or as soon as its slot is
 /// needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A client that reads nothing of its answer for this long is gone.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A client that takes nothing of its answer for this long is gone. It holds at each place where an answer may
+/// wait for its client: the socket, the relay of a worker's stream, and the JSON-RPC frontend's lines.
+pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -119,7 +120,7 @@
     match connection.phase {
         ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming | ConnectionPhase::Closing(_) => None,
         ConnectionPhase::Idle(since) if connection.is_write_blocked => {
-            Some((since + WRITE_TIMEOUT, CloseReason::WriteTimeout))
+            Some((since + CLIENT_WRITE_TIMEOUT, CloseReason::WriteTimeout))
         }
         ConnectionPhase::Idle(_) if is_evicted => Some((accepted, CloseReason::Evicted)),
         ConnectionPhase::Idle(since) if is_closing_phase && has_answered => {
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -119,7 +119,7 @@
     tool_executions,
     /// Tool calls answered from the replay buffer.
     tool_replays,
-    /// Tool calls answered with an error of the JSON-RPC front end itself.
+    /// Tool calls answered with an error of the JSON-RPC frontend itself.
     tool_errors,
     /// Panics that were caught.
     panics,
--- a/src/wire_format/setting_values.rs
+++ b/src/wire_format/setting_values.rs
@@ -6,7 +6,9 @@
 
 /// Why settings can't be used.
 ///
-/// The texts name the simulator's message that carries settings, since its wire and the configuration share them.
+/// The texts begin with `INIT`, the simulator's message that carries settings: its wire and the configuration share
+/// this decoder. So the operators of a router read, for example, `configuration: INIT: setting my_zone is missing`.
+/// `INIT` has no other meaning there, and stays because the texts are part of both interfaces.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A setting that has to be stated is not.
