--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -9,13 +9,14 @@
 use llm_router::rules::close::{CloseReason, ConnectionFacts, ConnectionPhase, Eviction, close_due};
 use rstest::rstest;
 use std::future::poll_fn;
-use std::io::Write;
+use std::io::{Read, Write};
 use std::net::Shutdown;
+use std::path::Path;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use support::request;
 use support::server::*;
+use support::{Peer, RouterProcess, operator_file, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
@@ -264,3 +265,45 @@
     };
     assert_eq!(close_due(&facts), Some((now + timeout, reason)));
 }
+
+/// What a client does before its connection ends.
+#[derive(Clone, Copy)]
+enum ClientAction {
+    CloseAfterResponse,
+    CloseWithinHead,
+    ReceiveBrokenStream,
+    SendNothing,
+}
+
+/// Guards against log lines in which every close but a malformed request's reads like the end of a response.
+#[rstest]
+#[case::between_requests(ClientAction::CloseAfterResponse, "completed")]
+#[case::within_a_head(ClientAction::CloseWithinHead, "connection error")]
+#[case::in_a_stream_that_its_worker_breaks(ClientAction::ReceiveBrokenStream, "stream broken")]
+#[case::without_a_byte(ClientAction::SendNothing, "silent")]
+fn the_log_says_why_a_connection_ends(#[case] action: ClientAction, #[case] reason: &str) {
+    let decode = Peer::start(|_, conn| {
+        conn.begin_stream();
+        conn.delta("one");
+        false
+    });
+    let prefill = Peer::prefill_worker();
+    let file = operator_file(&[prefill.address], &[decode.address], "");
+    let router = RouterProcess::start_in(1024, &file, &[("RUST_LOG", Path::new("debug"))]);
+    let mut client = router.connect();
+    match action {
+        ClientAction::CloseAfterResponse => {
+            client.write_all(HEALTH).unwrap();
+            assert!(client.read(&mut [0; 256]).unwrap() > 0);
+        }
+        ClientAction::CloseWithinHead => client.write_all(&HEALTH[..10]).unwrap(),
+        ClientAction::ReceiveBrokenStream => {
+            client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
+            assert!(read_to_close(&mut client).contains("one"));
+        }
+        ClientAction::SendNothing => assert_eq!(client.read(&mut [0]).unwrap(), 0),
+    }
+    drop(client);
+    let line = router.wait_for("connection 0: ends: ");
+    assert!(line.ends_with(&format!("ends: {reason}")), "{line}");
+}
