--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -23,6 +23,10 @@
 }
 
 impl Limits {
+    /// Checks that the router can run within the limits.
+    ///
+    /// # Errors
+    /// There is too little memory.
     pub(super) fn validate(&self) -> Result<(), ConfigError> {
         if self.memory_mb < MIN_MEMORY_MB {
             return Err(ConfigError::TooLittleMemory { minimum_mb: MIN_MEMORY_MB });
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -93,6 +93,7 @@
         }
     }
 
+    /// The further data of the error object; only a rejection has any.
     fn data(&self) -> Option<ErrorData> {
         match self {
             RpcError::Rejected { retry_after } => retry_after.map(|retry_after| ErrorData { retry_after }),
--- a/src/frontend/jsonrpc/params.rs
+++ b/src/frontend/jsonrpc/params.rs
@@ -61,6 +61,7 @@
         if params.is_valid() { Ok(params) } else { Err(RpcError::InvalidParams) }
     }
 
+    /// Whether the values are within their bounds.
     fn is_valid(&self) -> bool {
         let fits = |key: &Option<String>| key.as_ref().is_none_or(|key| key.len() <= MAX_KEY_BYTES);
         is_plain_id(&self.name)
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -59,6 +59,10 @@
         }
     }
 
+    /// Relays the stream until its end.
+    ///
+    /// # Errors
+    /// The answer is incomplete: its stream broke, or nobody wants it any more.
     async fn relay_stream(&mut self, output: &mut AnswerOutput) -> Result<(), RelayError> {
         loop {
             // Biased: a stream that always has a frame ready must not hide that nobody wants it any more. Each branch
@@ -84,6 +88,7 @@
         }
     }
 
+    /// Relays all whole events that have been received.
     async fn relay_events(&mut self, output: &mut AnswerOutput) -> Result<(), RelayError> {
         while let Some(data) = self.events.next_event()? {
             match WorkerEvent::decode(&data)? {
@@ -95,6 +100,7 @@
         Ok(())
     }
 
+    /// Sends the text of a piece of the answer, and keeps what the last response needs of it.
     async fn relay_chunk(&mut self, chunk: AnswerChunk, output: &mut AnswerOutput) -> Result<(), RelayError> {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
@@ -110,6 +116,7 @@
         Ok(())
     }
 
+    /// Relays a tool call under its ordinal in the answer, those before a resume counted.
     async fn relay_tool_call(
         &mut self,
         request: RpcRequest,
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -233,6 +233,7 @@
     }
 }
 
+/// Waits until the call in flight has an outcome. Cancel-safe: the outcome stays in the channel.
 async fn wait_for_outcome(mut pending: watch::Receiver<Option<ToolOutcome>>) -> ToolOutcome {
     match pending.wait_for(Option::is_some).await.as_deref() {
         Ok(Some(outcome)) => outcome.clone(),
--- a/src/frontend/jsonrpc/tool_call.rs
+++ b/src/frontend/jsonrpc/tool_call.rs
@@ -104,6 +104,7 @@
         if self.stream.reply(response.into()).await { Ok(()) } else { Err(RelayError::ToolResultNotAccepted) }
     }
 
+    /// The line that tells the client how far the call has come.
     fn notification(&self, state: ToolState) -> Vec<u8> {
         Notification::Tool { ordinal: self.key.ordinal, state }.encode(&self.key.request)
     }
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -174,6 +174,7 @@
         decode_reply(call.id, head.status, &body)
     }
 
+    /// Sends a call on a connection, and records whether it may have reached the tool server.
     async fn send_on(
         &self,
         connection: &mut Connection,
@@ -196,6 +197,7 @@
         response.map_err(ExchangeError::Send)
     }
 
+    /// Reads a response body within the limit on results.
     async fn read_body(&self, body: Incoming) -> Result<Bytes, ExchangeError> {
         match Limited::new(body, self.max_result_bytes).collect().await {
             Ok(body) => Ok(body.to_bytes()),
--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -90,6 +90,7 @@
 }
 
 impl<'a> Worker<'a> {
+    /// The workers that a backend's servers become.
     fn of_backend(backend: &Backend<'a>) -> impl Iterator<Item = Self> {
         let kind = backend.name;
         backend.settings.servers.iter().map(move |server| Worker::new(kind, server))
--- a/src/import/haproxy/routes.rs
+++ b/src/import/haproxy/routes.rs
@@ -73,6 +73,7 @@
     has_servers.then(|| (frontend.key.trim_start_matches("listen "), frontend))
 }
 
+/// The default backend of a frontend: a `backend` section, else a `listen` section of that name.
 fn default_backend<'a>(
     proxies: &'a [ProxySection],
     frontend: &'a Proxy,
@@ -86,6 +87,7 @@
     }
 }
 
+/// The note on an address that is not carried over.
 fn omitted_bind(bind: &Bind, listen: &Bind) -> Omission {
     let description = format!("bind {}: one address is listened on, {}", bind.address, listen.address);
     Omission { line: bind.line, description }
--- a/src/import/haproxy/sections.rs
+++ b/src/import/haproxy/sections.rs
@@ -125,6 +125,7 @@
         }
     }
 
+    /// A `defaults` section begins with what the section that it refers to says.
     fn begin_defaults(&mut self, line: &Line<'_>) -> Result<Section, ImportErrorKind> {
         let SectionLine { name, defaults } = SectionLine::parse(line.arguments);
         let settings = match defaults {
@@ -135,6 +136,7 @@
         Ok(Section::Defaults(self.defaults.len() - 1))
     }
 
+    /// A proxy section begins with the defaults that it names, else with the last ones before it.
     fn begin_proxy(&mut self, line: &Line<'_>) -> Result<Section, ImportErrorKind> {
         let keyword = line.keyword;
         let SectionLine { name, defaults } = SectionLine::parse(line.arguments);
@@ -167,6 +169,7 @@
         }
     }
 
+    /// Passes a directive to the section that it belongs to, and notes what can't be carried over.
     fn read_directive(&mut self, line: &Line<'_>) -> Result<(), ImportErrorKind> {
         let keyword = line.keyword;
         let omissions = match self.current {
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -37,6 +37,7 @@
         self.0 == 0
     }
 
+    /// Whether the failures seem to have no end.
     fn are_too_many(&self) -> bool {
         self.0 >= MAX_CONSECUTIVE_FAILURES
     }
--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -50,16 +50,19 @@
 }
 
 impl PipelineWait {
+    /// Bytes of the next request wait behind the active one.
     fn record_next_request(&self) {
         if self.next_since.get().is_none() {
             self.next_since.set(Some(Instant::now()));
         }
     }
 
+    /// The next request is read, and becomes the current one.
     fn begin_request(&self) {
         self.current_since.set(self.next_since.take());
     }
 
+    /// How long ago the current request was first seen waiting; zero if it did not wait.
     fn elapsed(&self) -> Duration {
         self.current_since.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
@@ -266,6 +269,7 @@
         self.is_write_blocked.set(is_blocked);
     }
 
+    /// Every change of phase passes here, and wakes the task that decides when the connection closes.
     fn enter_phase(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         self.changed.notify_one();
--- a/src/net/server/framing.rs
+++ b/src/net/server/framing.rs
@@ -48,6 +48,7 @@
 }
 
 impl HeadFields {
+    /// Takes a line of the head; only the two fields that frame the body matter.
     fn add_line(&mut self, line: &[u8]) {
         self.lines += 1;
         let is_request_line = self.lines == 1;
@@ -61,6 +62,7 @@
         }
     }
 
+    /// A second length is invalid unless it is equal to the first.
     fn add_content_length(&mut self, value: &[u8]) {
         let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let length = std::str::from_utf8(value).ok().filter(|_| is_number).and_then(|v| v.parse().ok());
@@ -69,6 +71,7 @@
         self.content_length = length;
     }
 
+    /// What the head says, once all of its lines are in.
     fn framing(&self) -> HeadFraming {
         if self.is_invalid || self.is_chunked && self.content_length.is_some() {
             HeadFraming::Ambiguous
@@ -131,6 +134,7 @@
         bytes.len() - rest.len()
     }
 
+    /// Takes bytes of a body of known length; returns how many.
     fn take_body(&mut self, remaining: u64, available: usize) -> usize {
         let taken = remaining.min(available as u64);
         if taken == remaining {
@@ -141,6 +145,7 @@
         taken as usize
     }
 
+    /// Takes bytes of a chunk; returns how many.
     fn take_chunk(&mut self, remaining: u64, available: usize) -> usize {
         let taken = remaining.min(available as u64);
         self.position =
--- a/src/net/server/gated_socket.rs
+++ b/src/net/server/gated_socket.rs
@@ -14,6 +14,9 @@
 
 /// The socket as hyper reads and writes it. It never reads past the end of the request that is arriving, and reports
 /// reads and blocked writes to the [`ClientSocket`].
+///
+/// It wraps a [`Socket`] instead of being one with a [`WriteMonitor`](crate::net::socket::WriteMonitor): a monitor sees
+/// neither reads nor the writes that are pending.
 pub struct GatedSocket {
     socket: Socket,
     client: Rc<ClientSocket>,
@@ -41,6 +44,7 @@
         Poll::Ready(Ok(self.client.request_bytes_in(received.filled())))
     }
 
+    /// Tells the connection whether its client takes what is written: a pending write is a blocked one.
     fn report_write<T>(&self, result: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         self.client.set_write_blocked(result.is_pending());
         result
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -73,6 +73,7 @@
     Ok(Event::StreamStarted { request, attempt, elapsed })
 }
 
+/// The attempt is skipped. The kind is 1 where the slot was reserved, and any other number where it was not.
 fn parse_slot_reserved(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let request = parse_request_id(fields)?;
     fields.text("hop")?;
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -66,6 +66,7 @@
         self.output.flush()
     }
 
+    /// Parses a message. The routers that it may name are those that were started, unless it starts one.
     fn parse_command(&self, line: &str) -> Result<(u32, Command), LineError> {
         let mut fields = Fields::new(line);
         let message = fields.text("message")?;
--- a/src/wire_format/flatten.rs
+++ b/src/wire_format/flatten.rs
@@ -12,6 +12,7 @@
     pairs
 }
 
+/// Adds the pairs of a value that stands at this dotted path.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     match value {
         Value::Null => {}
--- a/src/wire_format/settings.rs
+++ b/src/wire_format/settings.rs
@@ -62,6 +62,7 @@
     Duration::from_micros(micros as u64)
 }
 
+/// Reads the kinds of workers. Their roles and memory stand in lists of their own, in the same order.
 fn read_worker_kinds(values: &SettingValues<'_>) -> Result<Vec<WorkerKind>, SettingsError> {
     let names = values.list("skus").into_iter().enumerate();
     names.map(|(index, name)| read_worker_kind(values, index, name)).collect()
@@ -109,6 +110,7 @@
     })
 }
 
+/// Reads whether requests of a class may be repeated and, if their key allows it, among which workers.
 fn read_idempotency(
     values: &SettingValues<'_>,
     effect_key: &str,
