--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -9,7 +9,8 @@
 
 /// Why the router answers a client's request with an error.
 ///
-/// The `Display` text is the message of the error object, so it is a part of the protocol.
+/// The `Display` text is the message of the error object, so it is fixed by the protocol with clients: there a request
+/// that is "in hand" is an active one, and a "refused" one has been rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RpcError {
     /// The body is no JSON.
@@ -92,6 +93,7 @@
         }
     }
 
+    /// The further data of the error object; only a rejection has any.
     fn data(&self) -> Option<ErrorData> {
         match self {
             RpcError::Rejected { retry_after } => retry_after.map(|retry_after| ErrorData { retry_after }),
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -151,7 +151,7 @@
         self.last_eviction.set(Some(Instant::now()));
         let retention = Duration::from_secs(self.settings.retention_s);
         self.entries.borrow_mut().evict_completed(retention);
-        self.client.close_expired_connections();
+        self.client.close_expired();
     }
 
     /// Finds the call of this key, or starts it.
@@ -233,6 +233,7 @@
     }
 }
 
+/// Waits until the call in flight has an outcome. Cancel-safe: the outcome stays in the channel.
 async fn wait_for_outcome(mut pending: watch::Receiver<Option<ToolOutcome>>) -> ToolOutcome {
     match pending.wait_for(Option::is_some).await.as_deref() {
         Ok(Some(outcome)) => outcome.clone(),
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -17,8 +17,9 @@
 /// worker has the session's text cached. Its connection is closed after this, or as soon as its slot is
 /// needed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A client that reads nothing of its answer for this long is gone.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A client that takes nothing of its answer for this long is gone. It holds at each place where an answer may
+/// wait for its client: the socket, the relay of a worker's stream, and the JSON-RPC frontend's lines.
+pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,11 +67,18 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// HTTP ends it: its last answer was given, or its client closed first.
+    /// HTTP ends it: its last answer was given, or its client closed between two requests.
     Completed,
+    /// The body of an answer failed: the stream of its worker broke. Handled as [`CloseReason::Completed`].
+    StreamBroken,
+    /// The socket failed, or the client closed in the middle of a request. Handled as
+    /// [`CloseReason::Completed`].
+    ConnectionError,
     /// What was received is no valid HTTP.
     MalformedRequest,
-    /// Nothing was received for too long.
+    /// Nothing was received since its accept.
+    Silent,
+    /// Nothing was received for too long after its last answer.
     Idle,
     /// Its slot is needed for others.
     Evicted,
@@ -88,7 +96,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             CloseReason::Completed => "completed",
+            CloseReason::StreamBroken => "stream broken",
+            CloseReason::ConnectionError => "connection error",
             CloseReason::MalformedRequest => "malformed request",
+            CloseReason::Silent => "silent",
             CloseReason::Idle => "idle",
             CloseReason::Evicted => "evicted",
             CloseReason::Shutdown => "shutdown",
@@ -109,7 +120,7 @@
     match connection.phase {
         ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming | ConnectionPhase::Closing(_) => None,
         ConnectionPhase::Idle(since) if connection.is_write_blocked => {
-            Some((since + WRITE_TIMEOUT, CloseReason::WriteTimeout))
+            Some((since + CLIENT_WRITE_TIMEOUT, CloseReason::WriteTimeout))
         }
         ConnectionPhase::Idle(_) if is_evicted => Some((accepted, CloseReason::Evicted)),
         ConnectionPhase::Idle(since) if is_closing_phase && has_answered => {
@@ -119,7 +130,7 @@
         ConnectionPhase::Idle(_) if is_closing_phase => {
             Some((accepted + SILENT_TIMEOUT_AT_SHUTDOWN, CloseReason::Shutdown))
         }
-        ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Idle)),
+        ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Silent)),
         ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted, overdue)),
         ConnectionPhase::ReceivingRequest(_) if !has_answered => Some((accepted + REQUEST_TIMEOUT, overdue)),
         ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue)),
