--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -9,7 +9,7 @@
 //! | `client` | addresses, connections and the driver, for all of the below |
 //! | `outbound` | the driver's [`Outbound`](crate::runtime::Outbound): starts the calls |
 //! | `attempt`, `completion` | the steps of an attempt, and the report of its end |
-//! | `forward`, `send_guard` | the request as it is written, and whether it may still be |
+//! | `forward`, `write_guard` | the request as it is written, and the check before each write |
 //! | `response`, `event_stream` | what a worker answered, up to the first event of a stream |
 //! | `stream`, `stream_tail` | the relay of a stream to the client |
 //! | `call` | single calls beside the attempts, used by `release`, `slot`, `health` and `stream` |
@@ -30,8 +30,8 @@
 pub mod pool;
 mod release;
 mod response;
-mod send_guard;
 mod slot;
 mod stream;
 mod stream_tail;
+mod write_guard;
 mod write_progress;
--- a/src/net/upstream/send_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -1,8 +1,9 @@
-//! The conditions under which an attempt may begin to be written and go on.
+//! The write guard of an attempt: the check directly before each write whether the attempt may begin or go on.
 //!
 //! An attempt was decided on before its release was awaited and its connection made. Since then the worker
-//! may have been reported as draining, the client may have left, and time has passed. So the conditions are
-//! checked again directly before each write.
+//! may have been reported as draining, the client may have left, and time has passed. The rule itself is
+//! [`rules::send::check_write`](crate::rules::send::check_write); the guard collects the facts that it decides on. An
+//! attempt that the guard stops is said to be withheld.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 use crate::net::discovery::Directory;
@@ -13,8 +14,8 @@
 use crate::runtime::exchange::{ClientConnection, RequestState};
 use std::rc::Rc;
 
-/// What has to hold while a request is written.
-struct SendConditions {
+/// The sources of the facts on which the guard of one attempt decides.
+struct AttemptGuard {
     state: RequestState,
     client: ClientConnection,
     deadline: Micros,
@@ -23,9 +24,9 @@
     directory: Rc<Directory>,
 }
 
-impl SendConditions {
+impl AttemptGuard {
     fn new(attempt: &Attempt, directory: &Rc<Directory>) -> Self {
-        SendConditions {
+        AttemptGuard {
             state: attempt.state.clone(),
             client: attempt.forwarded.client.clone(),
             deadline: attempt.deadline,
@@ -48,22 +49,22 @@
 }
 
 impl UpstreamClient {
-    /// Whether an attempt may begin at this moment.
+    /// Checks the guard of an attempt of which nothing has been written.
     ///
     /// # Errors
-    /// The outcome of an attempt that may not.
-    pub fn may_begin(&self, attempt: &Attempt, now: Micros) -> Result<(), Outcome> {
-        SendConditions::new(attempt, &self.directory).check(now).map_err(WithholdReason::outcome)
+    /// The outcome of an attempt that is withheld.
+    pub fn check_write_guard(&self, attempt: &Attempt, now: Micros) -> Result<(), Outcome> {
+        AttemptGuard::new(attempt, &self.directory).check(now).map_err(WithholdReason::outcome)
     }
 
-    /// The check of an attempt before its first byte and before each further write, if the worker takes the
-    /// request in several parts. A worker begins with the last byte, so a request may be withheld until then.
+    /// The guard of an attempt, for its first byte and for each further write if the worker takes the request in
+    /// several parts. A worker begins with the last byte, so a request may be withheld until then.
     pub(super) fn write_guard(&self, attempt: &Attempt) -> WriteGuard {
-        let conditions = SendConditions::new(attempt, &self.directory);
+        let guard = AttemptGuard::new(attempt, &self.directory);
         let (clock, counters, begun) = (self.driver.clock, self.counters.clone(), attempt.begun.clone());
         let (request, index) = (attempt.forwarded.id.clone(), attempt.attempt);
         Box::new(move || {
-            conditions.check(clock.now()).map_err(|withheld| {
+            guard.check(clock.now()).map_err(|withheld| {
                 log::debug!("request {request}: attempt {} is withheld: {withheld}", index.0);
                 // A request that was written in part has not run: the worker never gets its last byte.
                 if begun.get() { Outcome::ConnectFailed } else { withheld.outcome() }
--- a/tests/attempts/main.rs
+++ b/tests/attempts/main.rs
@@ -6,4 +6,4 @@
 mod cancellation;
 mod harness;
 mod responses;
-mod send_conditions;
+mod write_guard;
--- a/tests/attempts/send_conditions.rs
+++ b/tests/attempts/write_guard.rs
@@ -1,4 +1,4 @@
-//! The conditions of an attempt are checked again directly before its first byte.
+//! The write guard of an attempt is checked directly before its first byte.
 
 use crate::harness::*;
 use crate::support::Peer;
@@ -83,7 +83,7 @@
         Meanwhile::DeduplicationWindowEnded => attempt.begin_before = Some(now),
         _ => attempt.begin_before = Some(now + 1),
     }
-    assert_eq!(upstream.client.may_begin(&attempt, now), expected);
+    assert_eq!(upstream.client.check_write_guard(&attempt, now), expected);
 }
 
 /// Guards against other tasks that run between the last check of an attempt and its first byte: they may take
