--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -4,19 +4,20 @@
 use super::withdrawn::WithdrawnWorkers;
 use crate::interface::{Endpoint, Micros, Role, WorkerId, WorkerKind, WorkerStatus};
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-struct Worker {
+/// A worker of the endpoint list, as it was listed last.
+struct ListedWorker {
     address: Option<SocketAddr>,
     status: WorkerStatus,
     kind: String,
     started_at: Option<Micros>,
 }
 
-impl Worker {
+impl ListedWorker {
     /// Whether connections to `other` lead to the same process as connections to this.
-    fn is_same_process(&self, other: &Worker) -> bool {
+    fn is_same_process(&self, other: &ListedWorker) -> bool {
         self.started_at == other.started_at && self.address == other.address
     }
 
@@ -31,7 +32,7 @@
 #[derive(Default)]
 pub struct Directory {
     /// All workers that are listed and not gone.
-    workers: RefCell<HashMap<WorkerId, Worker>>,
+    workers: RefCell<HashMap<WorkerId, ListedWorker>>,
     sequence: Cell<u64>,
     withdrawn: RefCell<WithdrawnWorkers>,
 }
@@ -56,7 +57,7 @@
         for AddressedEndpoint { endpoint, address } in listed {
             self.record_withdrawal(endpoint);
             let previous = workers.get(&endpoint.worker);
-            let current = Worker {
+            let current = ListedWorker {
                 address: address.or_else(|| previous.and_then(|worker| worker.address)),
                 status: endpoint.status,
                 kind: endpoint.kind.clone(),
@@ -98,17 +99,21 @@
 
     /// Corrects an update of another agent whose list is older than the one that was last applied: workers already known
     /// to be draining or gone are listed as draining, so that an agent that has not heard of it yet brings none back.
-    pub(super) fn mark_withdrawn_as_draining(&self, update: &mut EndpointUpdate) {
+    /// Returns the workers whose status was corrected.
+    pub(super) fn mark_withdrawn_as_draining(&self, update: &mut EndpointUpdate) -> HashSet<WorkerId> {
+        let mut corrected = HashSet::new();
         if update.sequence >= self.sequence.get() {
-            return;
+            return corrected;
         }
         let withdrawn = self.withdrawn.borrow();
         for AddressedEndpoint { endpoint, .. } in &mut update.endpoints {
             let is_withdrawn = withdrawn.contains(&endpoint.worker, endpoint.started_at);
             if endpoint.status == WorkerStatus::Ready && is_withdrawn {
                 endpoint.status = WorkerStatus::Draining;
+                corrected.insert(endpoint.worker.clone());
             }
         }
+        corrected
     }
 
     /// The sequence number of the update that was last applied.
@@ -129,7 +134,7 @@
     /// All workers that run: those in service first, then those that are draining.
     pub fn running(&self) -> Vec<WorkerId> {
         let workers = self.workers.borrow();
-        let mut running: Vec<(&WorkerId, &Worker)> = workers.iter().collect();
+        let mut running: Vec<(&WorkerId, &ListedWorker)> = workers.iter().collect();
         running.sort_by_key(|(_, worker)| worker.status != WorkerStatus::Ready);
         running.into_iter().map(|(id, _)| id.clone()).collect()
     }
--- a/src/net/discovery/messages.rs
+++ b/src/net/discovery/messages.rs
@@ -16,6 +16,7 @@
     endpoints: Vec<EndpointMessage>,
 }
 
+/// A worker in a message, under the names that discovery uses.
 #[derive(Clone, Debug, Deserialize)]
 struct EndpointMessage {
     #[serde(rename = "host")]
@@ -41,6 +42,7 @@
     1.0
 }
 
+/// A worker's status as discovery writes it.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum StatusMessage {
--- a/src/net/discovery/parser/tests.rs
+++ b/src/net/discovery/parser/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of how messages are parsed out of the chunks of a response body.
+
 use super::*;
 use crate::net::discovery::EndpointUpdate;
 
--- a/src/net/discovery/withdrawn.rs
+++ b/src/net/discovery/withdrawn.rs
@@ -6,6 +6,7 @@
 /// How many withdrawn workers are remembered: more than drain between two updates of an agent that lags behind.
 const MAX_WITHDRAWN_WORKERS: usize = 512;
 
+/// One process of a worker that was withdrawn.
 struct WithdrawnWorker {
     worker: WorkerId,
     /// Start time of the process that was withdrawn; a restarted process is not.
