--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -2,12 +2,12 @@
 
 use crate::interface::Outcome;
 use crate::net::upstream::client::UpstreamClient;
-use crate::net::upstream::completion::{AttemptCompletion, AttemptResult, ConnectionDisposition};
+use crate::net::upstream::completion::{AttemptCompletion, ConnectionDisposition};
 use crate::net::upstream::forward::forward_request;
 use crate::net::upstream::pool::{ConnectError, Connection, Target};
 use crate::net::upstream::response::{ResponseError, SentRequest, UpstreamResponse};
 use crate::net::upstream::stream::{CompletedStream, relay_stream};
-use crate::runtime::Attempt;
+use crate::runtime::{Attempt, AttemptResult};
 use std::pin::Pin;
 use std::time::Duration;
 use tokio::time::Sleep;
@@ -140,7 +140,8 @@
 
     /// The outcome of an attempt whose connection broke or brought no usable response.
     fn record_broken(&self, connection: &Connection, error: &ResponseError) -> Outcome {
-        log::info!("request {}: {} broke off: {error}", self.attempt.forwarded.id, self.attempt.worker.0);
+        let (request, worker) = (&self.attempt.forwarded.id, &self.attempt.worker.0);
+        log::info!("request {request}: the connection to {worker} broke: {error}");
         self.client.pool.record_broken(connection);
         Outcome::ConnectionLost
     }
--- a/src/net/upstream/completion.rs
+++ b/src/net/upstream/completion.rs
@@ -1,22 +1,7 @@
 //! The end of an attempt and its report to the driver.
 
-use crate::interface::{AttemptIndex, LoadReport, Outcome, RequestId};
-use crate::runtime::{Attempt, DriverHandle, DriverInput};
-
-/// How an attempt ended, and what its worker reported.
-pub(super) struct AttemptResult {
-    pub outcome: Outcome,
-    /// Prompt tokens that the worker found in its cache.
-    pub cached_tokens: u64,
-    /// The worker's load, if reported.
-    pub report: Option<LoadReport>,
-}
-
-impl From<Outcome> for AttemptResult {
-    fn from(outcome: Outcome) -> Self {
-        AttemptResult { outcome, cached_tokens: 0, report: None }
-    }
-}
+use crate::interface::{AttemptIndex, Outcome, RequestId};
+use crate::runtime::{Attempt, AttemptResult, DriverHandle, DriverInput};
 
 /// What becomes of a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,9 +42,7 @@
         self.driver.submit(DriverInput::AttemptEnded {
             request: self.request,
             attempt: self.attempt,
-            outcome: result.outcome,
-            cached_tokens: result.cached_tokens,
-            report: result.report,
+            result,
         });
     }
 }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -3,9 +3,10 @@
 
 use crate::interface::{Outcome, Stage};
 use crate::net::upstream::call::read_body;
-use crate::net::upstream::completion::{AttemptResult, ConnectionDisposition};
+use crate::net::upstream::completion::ConnectionDisposition;
 use crate::net::upstream::event_stream::{EventCheck, EventStream, EventStreamError};
 use crate::net::upstream::load_report;
+use crate::runtime::AttemptResult;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::http::response::Parts;
@@ -42,7 +43,7 @@
 }
 
 /// A stream whose first event has arrived.
-pub(super) struct StartedStream {
+pub(super) struct OpenedStream {
     pub first_event: Bytes,
     pub events: EventStream,
     pub content_type: Option<String>,
@@ -53,7 +54,7 @@
 /// A worker's response, up to its end or to the first event of a stream.
 pub(super) enum UpstreamResponse {
     Complete { result: AttemptResult, disposition: ConnectionDisposition },
-    Stream(StartedStream),
+    Stream(OpenedStream),
 }
 
 /// What the head of a response means.
@@ -96,7 +97,7 @@
     pub async fn read(response: Response<Incoming>, sent: SentRequest) -> Result<Self, ResponseError> {
         let (head, body) = response.into_parts();
         match ResponseKind::of(&head, &sent) {
-            ResponseKind::Stream => Ok(UpstreamResponse::start_stream(&head.headers, body).await?),
+            ResponseKind::Stream => Ok(UpstreamResponse::open_stream(&head.headers, body).await?),
             ResponseKind::Final(outcome) => {
                 Ok(UpstreamResponse::read_final(outcome, &head.headers, body, &sent).await)
             }
@@ -129,7 +130,7 @@
 
     /// Reads a stream up to its first event. The head alone is not enough: until an event has come, the
     /// attempt can still be replaced by another one.
-    async fn start_stream(headers: &HeaderMap, body: Incoming) -> Result<Self, EventStreamError> {
+    async fn open_stream(headers: &HeaderMap, body: Incoming) -> Result<Self, EventStreamError> {
         let is_chunked = headers.contains_key("transfer-encoding");
         let has_marked_end = is_chunked || body.size_hint().exact().is_some();
         let content_type = headers.get("content-type").and_then(|value| value.to_str().ok());
@@ -141,7 +142,7 @@
         let mut events = EventStream::new(body, check);
         match events.first_event().await? {
             Some(first_event) => {
-                let stream = StartedStream { first_event, events, content_type, has_marked_end };
+                let stream = OpenedStream { first_event, events, content_type, has_marked_end };
                 Ok(UpstreamResponse::Stream(stream))
             }
             None => Ok(UpstreamResponse::closing(Outcome::ConnectionLost)),
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -3,12 +3,12 @@
 use crate::interface::Outcome;
 use crate::net::upstream::call::{UnaryCall, UnaryResponse};
 use crate::net::upstream::client::UpstreamClient;
-use crate::net::upstream::completion::{AttemptResult, ConnectionDisposition};
+use crate::net::upstream::completion::ConnectionDisposition;
 use crate::net::upstream::event_stream::{EventStream, EventStreamError, StreamPart};
-use crate::net::upstream::response::StartedStream;
+use crate::net::upstream::response::OpenedStream;
 use crate::net::upstream::stream_tail::StreamTail;
 use crate::runtime::exchange::{Frame, Reply, ResponseStreamSender, response_stream};
-use crate::runtime::{Attempt, DriverInput};
+use crate::runtime::{Attempt, AttemptResult, DriverInput};
 use std::time::Duration;
 use tokio::time::Instant;
 use tower::Service;
@@ -18,7 +18,8 @@
 const EVENT_TIMEOUT: Duration = Duration::from_millis(4500);
 /// A reply that the worker has not taken within this counts as not delivered.
 const REPLY_TIMEOUT: Duration = EVENT_TIMEOUT;
-/// A client that takes nothing of its stream for this long is gone.
+/// A client that takes nothing of its stream for this long is gone. The JSON-RPC front end treats its clients alike: the
+/// constant of this name in `frontend::jsonrpc::output` has the same value.
 const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a stream is broken after its first event.
@@ -50,9 +51,9 @@
 pub(super) async fn relay_stream(
     client: &UpstreamClient,
     attempt: &mut Attempt,
-    stream: StartedStream,
+    stream: OpenedStream,
 ) -> Result<CompletedStream, Outcome> {
-    let StartedStream { first_event, events, content_type, has_marked_end } = stream;
+    let OpenedStream { first_event, events, content_type, has_marked_end } = stream;
     let (sender, response) = response_stream(content_type);
     let (request, index) = (attempt.request, attempt.attempt);
     client.driver.submit(DriverInput::StreamStarted { request, attempt: index, stream: response });
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -71,8 +71,8 @@
     pub begin_before: Option<Micros>,
 }
 
-/// A stream that is about to be passed on to the client.
-pub(super) struct StartedStream {
+/// What it takes to pass an attempt's stream on to the client as the final answer.
+pub(super) struct AnswerHandover {
     /// Gives the stream to the client.
     pub responder: Responder,
     /// When its attempt was sent.
@@ -118,7 +118,12 @@
 
     /// Whether the request has its final answer and no attempt in flight.
     pub fn is_finished(&self) -> bool {
-        self.is_answered() && !self.attempts.iter().any(AttemptRecord::is_in_flight)
+        self.is_answered() && !self.has_attempt_in_flight()
+    }
+
+    /// Whether an attempt has been sent and has not ended.
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(AttemptRecord::is_in_flight)
     }
 
     /// Whether the request may be rejected: a client may then retry without harm.
@@ -126,6 +131,13 @@
         is_rejection_harmless(self.idempotency, self.may_have_run())
     }
 
+    /// For the log: the facts that decide between a rejection and a failure, see
+    /// [`is_rejection_harmless`](Self::is_rejection_harmless).
+    pub fn rejection_facts(&self) -> String {
+        let may_have_run = if self.may_have_run() { "may have run" } else { "has not run" };
+        format!("{may_have_run}, {:?}", self.idempotency)
+    }
+
     /// Whether an attempt that has ended, or one in flight, may have had an effect.
     fn may_have_run(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::may_have_run)
@@ -158,13 +170,14 @@
         let deadline =
             timeout.map_or(self.deadline, |timeout| self.deadline.min(now.saturating_add(timeout)));
         let index = AttemptIndex(self.attempts.len() as u32);
-        let previous = self.attempts.last().and_then(|attempt| attempt.outcome);
         log::debug!(
-            "request {}: attempt {} to worker {}, {stage:?}, {} us, previous outcome {previous:?}",
+            "request {}: attempt {} ({stage:?}{}) to {}, timeout {} us{}",
             self.id(),
             index.0,
+            self.repetition_note(stage),
             worker.0,
-            deadline.saturating_sub(now)
+            deadline.saturating_sub(now),
+            self.previous_outcome_note()
         );
         let (cancel, cancelled) = oneshot::channel();
         let begun = Rc::<Cell<bool>>::default();
@@ -193,9 +206,22 @@
         }
     }
 
+    /// For the log: whether an attempt of this stage, made now, would be a retry or a hedged request.
+    fn repetition_note(&self, stage: Stage) -> &'static str {
+        let mut earlier = self.attempts.iter().filter(|attempt| attempt.stage == stage);
+        let Some(first) = earlier.next() else { return "" };
+        if first.is_in_flight() || earlier.any(AttemptRecord::is_in_flight) { ", hedged" } else { ", retry" }
+    }
+
+    /// For the log: how the last attempt ended, if it has.
+    fn previous_outcome_note(&self) -> String {
+        let outcome = self.attempts.last().and_then(|attempt| attempt.outcome);
+        outcome.map_or_else(String::new, |outcome| format!(", after {outcome:?}"))
+    }
+
     /// Records that the answer of an attempt has begun to stream. `None` if there is no such attempt, or if
     /// the request has its final answer already: that one stands.
-    pub fn start_stream(&mut self, index: AttemptIndex) -> Option<StartedStream> {
+    pub fn start_stream(&mut self, index: AttemptIndex) -> Option<AnswerHandover> {
         let is_answered = self.is_answered();
         let attempt = self.attempts.get_mut(index.0 as usize)?;
         attempt.begun.set(true);
@@ -209,7 +235,7 @@
         if let Some(release) = self.release.take() {
             release.stop();
         }
-        Some(StartedStream { responder, sent_at })
+        Some(AnswerHandover { responder, sent_at })
     }
 
     /// Records the end of an attempt; the time since it was sent. `None` if there is no such attempt in
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -58,7 +58,11 @@
             return self.fail(request, reason);
         }
         let Some(responder) = active.take_responder() else { return };
-        log::debug!("request {}: rejected: reason {reason:?}, retry after {retry_after:?} us", active.id());
+        log::debug!(
+            "request {}: rejected: reason {reason:?}, {}",
+            active.id(),
+            retry_after.map_or("no Retry-After".into(), |wait| format!("Retry-After {wait} us"))
+        );
         self.counters.responses_rejected.increment();
         responder.reject(retry_after);
         self.answered.push(request);
@@ -67,7 +71,7 @@
     fn fail(&mut self, request: RequestId, reason: EndReason) {
         let Some(active) = self.requests.get_mut(request) else { return };
         let Some(responder) = active.take_responder() else { return };
-        log::debug!("request {}: failed: reason {reason:?}", active.id());
+        log::debug!("request {}: failed: reason {reason:?}, {}", active.id(), active.rejection_facts());
         self.counters.responses_failed.increment();
         responder.fail();
         self.answered.push(request);
@@ -98,8 +102,15 @@
         self.start_release(request);
     }
 
+    /// Starts the calls that release the KV cache; whether it still counts as held is up to the caller.
     pub(super) fn start_release(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(request) else { return };
+        match active.held_cache().holder().cloned() {
+            Some(holder) => {
+                log::debug!("request {}: releasing the cache held at {}", active.id(), holder.0)
+            }
+            None => log::debug!("request {}: releasing its cache, no holder is known", active.id()),
+        }
         self.counters.cache_releases.increment();
         let release = active.start_release();
         self.outbound.release_cache(active.forwarded(), release);
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -3,21 +3,17 @@
 use super::Driver;
 use super::limits::DriverEndReason;
 use crate::interface::{
-    AttemptEnd, AttemptIndex, Event, Idempotency, LoadReport, Outcome, RequestId, RequestSpec,
+    AttemptEnd, AttemptIndex, Event, Idempotency, Micros, Outcome, RequestId, RequestSpec,
 };
 use crate::runtime::active_request::ActiveRequest;
 use crate::runtime::counters::Count;
 use crate::runtime::exchange::{ForwardedRequest, Responder, ResponseStream};
-use crate::runtime::handle::DriverInput;
+use crate::runtime::handle::{AttemptResult, DriverInput};
 use crate::runtime::timers::TimerEntry;
 use std::rc::Rc;
 
-/// How an attempt ended, and what it found.
-struct AttemptResult {
-    outcome: Outcome,
-    cached_tokens: u64,
-    report: Option<LoadReport>,
-}
+/// Log lines state deadlines in ms.
+const MICROS_PER_MS: Micros = 1000;
 
 impl Driver {
     pub(super) fn handle_input(&mut self, input: DriverInput) {
@@ -29,9 +25,8 @@
             DriverInput::StreamStarted { request, attempt, stream } => {
                 self.stream_started(request, attempt, stream)
             }
-            DriverInput::AttemptEnded { request, attempt, outcome, cached_tokens, report } => {
-                let result = AttemptResult { outcome, cached_tokens, report };
-                self.attempt_ended(request, attempt, result);
+            DriverInput::AttemptEnded { request, attempt, result } => {
+                self.attempt_ended(request, attempt, result)
             }
             DriverInput::EndpointsUpdated { kind, endpoints } => {
                 self.counters.endpoint_updates.increment();
@@ -48,9 +43,17 @@
         }
     }
 
+    /// Enters a request in the table, limits the time for its final answer, and notifies the policy.
     fn request_received(&mut self, spec: RequestSpec, forwarded: Rc<ForwardedRequest>, responder: Responder) {
         self.counters.requests_received.increment();
-        log::debug!("request {}: received {spec:?}", forwarded.id);
+        log::debug!(
+            "request {}: received as number {}, {} ms left, class {}, {} prompt tokens",
+            forwarded.id,
+            spec.request.0,
+            spec.deadline.saturating_sub(self.clock.now()) / MICROS_PER_MS,
+            spec.class,
+            spec.prompt_tokens
+        );
         let class = self.settings.classes.iter().find(|class| class.name == spec.class);
         // A request of a class that the settings don't name is never repeated.
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
@@ -70,17 +73,19 @@
         self.end_request(request, DriverEndReason::ClientDisconnected);
     }
 
+    /// Hands a stream to the client as the final answer, unless the request has one already.
     fn stream_started(&mut self, request: RequestId, attempt: AttemptIndex, stream: ResponseStream) {
         let Some(active) = self.requests.get_mut(request) else { return };
         // Where the request has its final answer, the stream is dropped, and its attempt ends with it.
-        let Some(started) = active.start_stream(attempt) else { return };
-        let elapsed = self.clock.now().saturating_sub(started.sent_at);
+        let Some(handover) = active.start_stream(attempt) else { return };
+        let elapsed = self.clock.now().saturating_sub(handover.sent_at);
         log::debug!("request {}: attempt {} streams after {elapsed} us", active.id(), attempt.0);
         self.counters.responses_streamed.increment();
-        started.responder.stream(stream);
+        handover.responder.stream(stream);
         self.notify_policy(Event::StreamStarted { request, attempt, elapsed });
     }
 
+    /// Records how an attempt ended and notifies the policy. The end of an attempt that is not in flight is ignored.
     fn attempt_ended(&mut self, request: RequestId, attempt: AttemptIndex, result: AttemptResult) {
         let AttemptResult { outcome, cached_tokens, report } = result;
         let now = self.clock.now();
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -37,9 +37,11 @@
             self.timers.push(release_due, TimerEntry::CacheHoldLimit(request));
             return;
         }
-        log::debug!("request {}: cache released at its hold limit, attempt unanswered", active.id());
+        let attempts = if active.has_attempt_in_flight() { ", attempt unanswered" } else { "" };
+        let holder = active.held_cache().holder().map_or("an unknown worker", |worker| &worker.0).to_owned();
+        log::debug!("request {}: the cache held at {holder} is at its hold limit{attempts}", active.id());
         self.counters.cache_releases_forced.increment();
-        active.held_cache().released_while_unanswered();
+        active.held_cache().released_at_hold_limit();
         self.start_release(request);
     }
 
@@ -61,7 +63,11 @@
             let settings = &self.settings;
             responder.reject(settings.retry_after_allowed.then_some(settings.max_retry_after));
         } else {
-            log::debug!("request {}: failed by the driver: reason {reason:?}", active.id());
+            log::debug!(
+                "request {}: failed by the driver: reason {reason:?}, {}",
+                active.id(),
+                active.rejection_facts()
+            );
             self.counters.responses_failed.increment();
             responder.fail();
         }
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -9,6 +9,24 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
+/// How an attempt ended, and what its worker reported.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptResult {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Prompt tokens that the worker found in its cache.
+    pub cached_tokens: u64,
+    /// The worker's load, if reported.
+    pub report: Option<LoadReport>,
+}
+
+impl From<Outcome> for AttemptResult {
+    /// The result of an attempt whose worker reported nothing.
+    fn from(outcome: Outcome) -> Self {
+        AttemptResult { outcome, cached_tokens: 0, report: None }
+    }
+}
+
 /// An input of the driver: something that happened.
 pub enum DriverInput {
     /// A request was received.
@@ -37,12 +55,8 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
-        /// How it ended.
-        outcome: Outcome,
-        /// Prompt tokens that the worker found in its cache.
-        cached_tokens: u64,
-        /// The worker's load, if reported.
-        report: Option<LoadReport>,
+        /// How it ended, and what its worker reported.
+        result: AttemptResult,
     },
     /// The endpoint list was updated, or could not be.
     EndpointsUpdated {
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -15,11 +15,11 @@
 /// A request's KV cache at a prefill worker, as far as the outcomes of attempts tell.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldCache {
-    /// Since when no attempt is known to have been in flight; `None` while nothing is held.
-    unattended_since: Option<Micros>,
+    /// Since when the cache has been idle: no attempt is known to have been in flight. `None` while nothing is held.
+    idle_since: Option<Micros>,
     /// The worker that holds the cache, or held it last.
     holder: Option<WorkerId>,
-    /// Whether the cache was released while the present attempt was unanswered.
+    /// Whether the cache was released at its hold limit. An attempt that had arrived before that may still fetch it.
     is_released: bool,
     /// Whether an attempt has been sent and has not ended.
     is_attempt_unanswered: bool,
@@ -36,8 +36,8 @@
         self.is_attempt_unanswered = false;
         match outcome {
             Outcome::PrefillCompleted => {
-                let (unattended_since, holder) = (Some(now), Some(worker.clone()));
-                *self = HeldCache { unattended_since, holder, ..HeldCache::default() };
+                let (idle_since, holder) = (Some(now), Some(worker.clone()));
+                *self = HeldCache { idle_since, holder, ..HeldCache::default() };
             }
             Outcome::Completed | Outcome::CacheMissing => self.clear(),
             // The attempt had arrived, so it was in flight until now.
@@ -56,24 +56,24 @@
     }
 
     fn restart_limit(&mut self, now: Micros) {
-        self.unattended_since = self.unattended_since.map(|_| now);
+        self.idle_since = self.idle_since.map(|_| now);
         self.is_released = false;
     }
 
     /// Records that the cache was fetched, or that its release has been sent.
     pub fn clear(&mut self) {
-        self.unattended_since = None;
+        self.idle_since = None;
         self.is_released = false;
     }
 
-    /// Records that the cache was released while the present attempt is unanswered.
-    pub fn released_while_unanswered(&mut self) {
+    /// Records that the cache was released at its hold limit.
+    pub fn released_at_hold_limit(&mut self) {
         self.is_released = true;
     }
 
     /// Whether a cache is held that has not been released.
     pub fn is_held(&self) -> bool {
-        self.unattended_since.is_some() && !self.is_released
+        self.idle_since.is_some() && !self.is_released
     }
 
     /// The worker that holds the cache, or held it last.
@@ -83,7 +83,7 @@
 
     /// When the cache has to be released unless something changes; `None` if nothing is held.
     pub fn release_due(&self, hold_limit: Micros) -> Option<Micros> {
-        let since = self.unattended_since.filter(|_| !self.is_released)?;
+        let since = self.idle_since.filter(|_| !self.is_released)?;
         let allowance = if self.is_attempt_unanswered { UNANSWERED_ATTEMPT_ALLOWANCE } else { 0 };
         Some(since.saturating_add(hold_limit).saturating_add(allowance))
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -18,5 +18,5 @@
 
 pub use clock::Clock;
 pub use driver::Driver;
-pub use handle::{DriverHandle, DriverInput};
+pub use handle::{AttemptResult, DriverHandle, DriverInput};
 pub use outbound::{Attempt, Outbound, ReleaseProgress};
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -96,8 +96,8 @@
     /// Waits for the end of the attempt in flight.
     pub async fn next_outcome(&mut self) -> Outcome {
         loop {
-            if let DriverInput::AttemptEnded { outcome, .. } = self.inputs.recv().await.unwrap() {
-                return outcome;
+            if let DriverInput::AttemptEnded { result, .. } = self.inputs.recv().await.unwrap() {
+                return result.outcome;
             }
         }
     }
--- a/tests/driver_held_cache.rs
+++ b/tests/driver_held_cache.rs
@@ -22,9 +22,7 @@
     DriverInput::AttemptEnded {
         request: RequestId(1),
         attempt: AttemptIndex(attempt),
-        outcome,
-        cached_tokens: 0,
-        report: None,
+        result: outcome.into(),
     }
 }
 
