--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -49,7 +49,7 @@
     client_connections,
     /// Accepts that failed.
     accept_errors,
-    /// Client connections rejected for lack of sockets.
+    /// Client connections that were accepted over the connection limit, to reject what they send.
     connections_rejected,
     /// Requests handed to the driver.
     requests_received,
@@ -57,7 +57,7 @@
     requests_malformed,
     /// Client connections, idle or with an incomplete request, that were closed to make room for others.
     connections_evicted,
-    /// Client connections closed because their request was not complete in time.
+    /// Requests that did not arrive completely in time (status 408). Requests past their deadline are not counted here.
     requests_timed_out,
     /// Requests shed before the policy saw them, for lack of capacity.
     requests_shed,
@@ -91,7 +91,7 @@
     attempts_not_sent,
     /// Answers that began to stream to clients.
     responses_streamed,
-    /// Requests rejected.
+    /// Requests rejected by the policy or the driver, without those in `requests_shed` and `rejected_at_shutdown`.
     responses_rejected,
     /// Requests failed.
     responses_failed,
@@ -101,11 +101,11 @@
     streams_broken,
     /// Releases of held KV caches.
     cache_releases,
-    /// Releases at the hold limit, while an attempt was unanswered.
+    /// Releases at the hold limit, whether or not an attempt was unanswered.
     cache_releases_forced,
     /// Releases that no worker executed.
     cache_releases_failed,
-    /// Updates of the endpoint list received.
+    /// Updates of the endpoint list, and failures to get one, that reached the driver.
     endpoint_updates,
     /// Watches of discovery that broke or fell silent.
     watches_lost,
