--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -151,7 +151,7 @@
         self.last_eviction.set(Some(Instant::now()));
         let retention = Duration::from_secs(self.settings.retention_s);
         self.entries.borrow_mut().evict_completed(retention);
-        self.client.close_expired_connections();
+        self.client.close_expired();
     }
 
     /// Finds the call of this key, or starts it.
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -109,8 +109,8 @@
     }
 
     /// Closes connections that have been idle for too long.
-    pub fn close_expired_connections(&self) {
-        self.pool.retire();
+    pub fn close_expired(&self) {
+        self.pool.close_expired();
     }
 
     /// Sends a call, until the tool replies, the call times out or it is cancelled. Dropping the future closes the
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -14,7 +14,7 @@
 /// The `host` header of every request to a worker.
 pub(super) const WORKER_HOST: &str = "model-host";
 /// The longest response body that is read completely.
-const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_CALL_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// A small request to a worker.
 pub struct UnaryCall {
@@ -92,13 +92,13 @@
     #[error("{0}")]
     Broken(hyper::Error),
     /// The body is longer than any that is expected.
-    #[error("longer than {MAX_BODY_BYTES} bytes")]
+    #[error("longer than {MAX_CALL_RESPONSE_BYTES} bytes")]
     TooLong,
 }
 
 /// Reads a body of limited length completely.
 pub(super) async fn read_body(body: Incoming) -> Result<Bytes, BodyError> {
-    match Limited::new(body, MAX_BODY_BYTES).collect().await {
+    match Limited::new(body, MAX_CALL_RESPONSE_BYTES).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) => Err(error.downcast().map_or(BodyError::TooLong, |broken| BodyError::Broken(*broken))),
     }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,5 +1,6 @@
 //! One HTTP/1.1 connection to a worker, which carries one request at a time.
 
+use crate::interface::WorkerId;
 use crate::net::failure::{ConnectFailure, connect_failure};
 use crate::net::upstream::write_progress::{MonitoredStream, WriteGuard, WriteProgress, is_quiet};
 use bytes::Bytes;
@@ -84,11 +85,12 @@
 }
 
 impl Connection {
-    /// Sets up HTTP on a stream.
+    /// Sets up HTTP on a stream to `worker`.
     ///
     /// # Errors
     /// The stream or hyper's handshake fails.
     pub(super) async fn handshake(
+        worker: WorkerId,
         stream: TcpStream,
         permit: OwnedSemaphorePermit,
     ) -> Result<Connection, ConnectError> {
@@ -101,7 +103,7 @@
         let (sender, connection) = builder.handshake(io).await?;
         let driver = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to a worker: {error}");
+                log::debug!("connection to {}: {error}", worker.0);
             }
         });
         Ok(Connection {
--- a/src/net/upstream/event_stream.rs
+++ b/src/net/upstream/event_stream.rs
@@ -38,13 +38,13 @@
 pub struct EventStream {
     body: Incoming,
     check: EventCheck,
-    parser: EventParser,
+    checker: EventChecker,
 }
 
 impl EventStream {
     /// The events of this body.
     pub fn new(body: Incoming, check: EventCheck) -> Self {
-        EventStream { body, check, parser: EventParser::default() }
+        EventStream { body, check, checker: EventChecker::default() }
     }
 
     /// Everything up to the end of the first event; `None` if the stream ends before one. Comments are not
@@ -79,7 +79,7 @@
         while let Some(frame) = self.body.frame().await {
             let Ok(data) = frame?.into_data() else { continue };
             let part = match self.check {
-                EventCheck::Enforced => self.parser.push(data)?,
+                EventCheck::Enforced => self.checker.push(data)?,
                 EventCheck::Skipped => StreamPart { bytes: data, has_event: true },
             };
             if !part.bytes.is_empty() {
@@ -87,7 +87,7 @@
             }
         }
         // The last event may lack the blank line behind it.
-        let bytes = self.parser.finish()?;
+        let bytes = self.checker.finish()?;
         Ok(Some(StreamPart { bytes, has_event: true }).filter(|part| !part.bytes.is_empty()))
     }
 }
@@ -101,47 +101,47 @@
     pub has_event: bool,
 }
 
-/// Collects bytes until they make complete events.
+/// Collects bytes until they make complete events, and checks them line by line. The bytes stay as they are.
 #[derive(Default)]
-struct EventParser {
+struct EventChecker {
     /// Bytes that do not make a complete block yet.
     buffered: BytesMut,
     /// Whether the block that has not ended yet has data.
     has_data: bool,
-    /// Bytes at the start of `buffered` that have been parsed: complete lines.
-    parsed: usize,
+    /// Bytes at the start of `buffered` that have been checked: complete lines.
+    checked: usize,
 }
 
-impl EventParser {
+impl EventChecker {
     /// Adds bytes, and takes out all blocks that are complete with them.
     fn push(&mut self, data: Bytes) -> Result<StreamPart, EventStreamError> {
         self.buffered.extend_from_slice(&data);
         let (mut complete, mut has_event) = (0, false);
-        while let Some(length) = self.buffered[self.parsed..].iter().position(|b| *b == b'\n') {
-            let line = &self.buffered[self.parsed..self.parsed + length];
+        while let Some(length) = self.buffered[self.checked..].iter().position(|b| *b == b'\n') {
+            let line = &self.buffered[self.checked..self.checked + length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if !is_field(line) {
                 return Err(EventStreamError::NotAnEvent);
             }
             let (ends_block, has_data) = (line.is_empty(), line.starts_with(b"data"));
-            self.parsed += length + 1;
+            self.checked += length + 1;
             self.has_data |= has_data;
             if ends_block {
-                complete = self.parsed;
+                complete = self.checked;
                 has_event |= std::mem::take(&mut self.has_data);
             }
         }
         if self.buffered.len() - complete > MAX_EVENT_BYTES {
             return Err(EventStreamError::EventTooLong);
         }
-        self.parsed -= complete;
+        self.checked -= complete;
         Ok(StreamPart { bytes: self.buffered.split_to(complete).freeze(), has_event })
     }
 
     /// Takes out what is left at the stream's end.
     fn finish(&mut self) -> Result<Bytes, EventStreamError> {
         let rest = self.buffered.split().freeze();
-        let last_line = &rest[std::mem::take(&mut self.parsed)..];
+        let last_line = &rest[std::mem::take(&mut self.checked)..];
         if is_field(last_line) { Ok(rest) } else { Err(EventStreamError::NotAnEvent) }
     }
 }
--- a/src/net/upstream/event_stream/tests.rs
+++ b/src/net/upstream/event_stream/tests.rs
@@ -14,11 +14,11 @@
     #[case] corrupted: bool,
 ) {
     for cut in 0..wire.len() {
-        let mut parser = EventParser::default();
+        let mut checker = EventChecker::default();
         let mut passed = Vec::new();
         let mut failed = false;
         for part in [&wire[..cut], &wire[cut..]] {
-            match parser.push(Bytes::copy_from_slice(part.as_bytes())) {
+            match checker.push(Bytes::copy_from_slice(part.as_bytes())) {
                 Ok(part) => passed.extend_from_slice(&part.bytes),
                 Err(_) => failed = true,
             }
@@ -27,15 +27,15 @@
         assert!(passed.ends_with(b"\n") || passed.is_empty());
         if !corrupted {
             assert_eq!(passed, wire.strip_suffix(incomplete).unwrap().as_bytes(), "cut at {cut}");
-            assert_eq!(parser.finish().unwrap(), incomplete);
+            assert_eq!(checker.finish().unwrap(), incomplete);
         }
     }
 }
 
 #[test]
 fn an_event_without_end_is_rejected() {
-    let mut parser = EventParser::default();
+    let mut checker = EventChecker::default();
     let part = Bytes::from(vec![b'a'; 1024]);
-    assert!(parser.push("data: ".into()).is_ok());
-    assert!((0..200).any(|_| parser.push(part.clone()).is_err()));
+    assert!(checker.push("data: ".into()).is_ok());
+    assert!((0..200).any(|_| checker.push(part.clone()).is_err()));
 }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -57,9 +57,11 @@
     shared: Rc<PoolState>,
 }
 
+/// What the clones of a pool share.
 struct PoolState {
     /// Idle connections of each worker, in the order in which they were returned.
     idle: RefCell<HashMap<WorkerId, Vec<IdleConnection>>>,
+    /// One permit for each connection that may be open.
     permits: Arc<Semaphore>,
     limits: PoolLimits,
     /// Until when connections are not reused, because one was found dead.
@@ -67,9 +69,12 @@
     counters: Rc<Counters>,
 }
 
+/// A connection that waits for its next request.
 struct IdleConnection {
     connection: Connection,
+    /// Where it leads: it is not reused for a worker that has moved.
     address: SocketAddr,
+    /// When it was returned to the pool.
     since: Instant,
 }
 
@@ -134,7 +139,7 @@
     }
 
     /// Closes connections that are past their idle timeout or were closed by their peer.
-    pub fn retire(&self) {
+    pub fn close_expired(&self) {
         let idle_timeout = self.shared.limits.idle_timeout;
         self.shared.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|idle| idle.since.elapsed() < idle_timeout && !idle.connection.is_closed());
@@ -193,7 +198,7 @@
         let deadline = Instant::now() + self.shared.limits.connect_timeout;
         let connecting = tokio::time::timeout_at(deadline, connect(target.address, deadline));
         let stream = connecting.await.map_err(|_| ConnectError::TimedOut)??;
-        Connection::handshake(stream, permit).await
+        Connection::handshake(target.worker, stream, permit).await
     }
 }
 
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -110,10 +110,11 @@
 
     fn start(&mut self, call: UnaryCall) {
         let (mut client, acknowledge) = (self.client.clone(), self.acknowledge.clone());
+        let request = self.request.id.clone();
         self.calls.spawn_local(async move {
             match tokio::time::timeout(CALL_TIMEOUT, client.call(call)).await {
                 Ok(Ok(_)) => _ = acknowledge.send(()).await,
-                Ok(Err(error)) => log::debug!("cache release: {error}"),
+                Ok(Err(error)) => log::debug!("request {request}: cache release: {error}"),
                 Err(_) => {}
             }
         });
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -90,7 +90,7 @@
     /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that
     /// have expired.
     pub fn evict_expired(&self) {
-        self.pool.retire();
+        self.pool.close_expired();
         if let Some(tools) = &self.tools {
             tools.evict_expired();
         }
@@ -114,6 +114,7 @@
 }
 
 impl SharedParts {
+    /// Makes the parts; nothing runs or connects yet.
     fn new(config: &Config, sockets: SocketBudget, driver: DriverHandle, counters: Rc<Counters>) -> Self {
         let connect_timeout = Duration::from_micros(config.settings.connect_timeout);
         let connect_timeout = connect_timeout.max(MIN_CONNECT_TIMEOUT);
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -43,7 +43,10 @@
         tokio::time::sleep(ACCEPT_TIME).await;
         let _ = self.phase.send(ShutdownPhase::Closing);
         let _ = self.accept_task.await;
-        log::info!("stopping: idle connections are closed, {} are open", self.connections.count());
+        let open = self.connections.count();
+        log::info!(
+            "stopping: idle connections are closed, {open} are open with a request arriving or in flight"
+        );
         // An id is in use for as long as an attempt or a release of its request is in flight, so this also
         // waits until held KV caches are released.
         while self.connections.count() > 0 || !self.active_ids.is_empty() {
