--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,10 +1,11 @@
 //! Slow start: workers that have just started are sent no more than a growing part of their capacity.
 //!
-//! Each worker that warms up has a token bucket. It may be sent work while the bucket holds a token, and each
-//! attempt takes one.
+//! Each worker that warms up has a token bucket in each router. A router may send it an attempt while the
+//! bucket holds a whole permit, and each attempt takes one.
+//! The units are called permits here, since tokens are the model's everywhere else.
 
 use super::membership::{Membership, ROLE_COUNT};
-use super::slow_start_bucket::BUDGET_OVER_REFILL;
+use super::slow_start_bucket::BUDGET_PER_REFILL_RATIO;
 use super::statistics::LOAD_HALF_LIFE;
 use crate::interface::{Micros, Settings};
 
@@ -61,7 +62,7 @@
             let promised = promised_rate / peak_ready[role].max(1) as f64;
             let warm_rate = warm[role].rate_of(worker.weight).max(promised);
             let warm_fraction = worker.slow_start.warm_fraction(settings, now);
-            let rate = warm_rate * settings.overload_multiple * warm_fraction / BUDGET_OVER_REFILL;
+            let rate = warm_rate * settings.overload_multiple * warm_fraction / BUDGET_PER_REFILL_RATIO;
             worker.slow_start.refill(rate.max(least_rate), refilled_at, settings, now);
         }
     }
--- a/src/policy/slow_start_bucket.rs
+++ b/src/policy/slow_start_bucket.rs
@@ -4,11 +4,16 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The budget of a window over what refills the buckets of all routers in it: half of the budget is left for
-/// chance.
-pub(super) const BUDGET_OVER_REFILL: f64 = 2.0;
+/// chance. With N for the budget, the attempts that all routers together may send to a worker in one overload
+/// window, each router refills its bucket by `N / (BUDGET_PER_REFILL_RATIO * replica_count)` in a window.
+pub(super) const BUDGET_PER_REFILL_RATIO: f64 = 2.0;
 
-/// Standard deviations (square roots of the budget) by which chance may take a window over what refills the
-/// buckets. By the rule of overloads it is 2 over the whole budget, hence twice as many over half of it.
+/// How far chance may take a window over what refills the buckets, in square roots of the budget.
+///
+/// A worker is overloaded by more than `N + 2 * sqrt(N) + 2` attempts in an overload window. N is
+/// `overload_multiple` times what it can complete in that window at its present capacity, and 2 at the least.
+/// The buckets of all routers refill by `N / 2` in a window, so the permits saved up before it may come to
+/// `N / 2 + 2 * sqrt(N)`, which is `N / 2 * (1 + 4 / sqrt(N))`. They make no use of the last 2 attempts.
 const BURST_STANDARD_DEVIATIONS: f64 = 4.0;
 
 /// A worker is taken to have at least this part of its capacity, whatever the settings say.
@@ -19,14 +24,14 @@
 pub(super) struct SlowStartBucket {
     started_at: Option<Micros>,
     listed_at: Micros,
-    tokens: f64,
+    permits: f64,
 }
 
 impl SlowStartBucket {
     /// The bucket of a process that is listed for the first time.
     ///
     /// The least budget rotates among the routers, one after another from the worker's start on: a router
-    /// that restarts does not get a second token, and routers that see the worker at once do not send
+    /// that restarts does not get a second permit, and routers that see the worker at once do not send
     /// together.
     pub fn new(worker: &WorkerId, started_at: Option<Micros>, settings: &Settings, now: Micros) -> Self {
         let replicas = u64::from(settings.replica_count.max(1));
@@ -34,8 +39,8 @@
         let first_replica = xxh3_64_with_seed(worker.0.as_bytes(), start) % replicas;
         let slot = (first_replica + u64::from(settings.replica_index)) % replicas;
         let windows_since_start = now.saturating_sub(start) as f64 / settings.overload_window.max(1) as f64;
-        let tokens = ((slot as f64 + 0.5 + windows_since_start) / replicas as f64).fract();
-        SlowStartBucket { started_at, listed_at: now, tokens }
+        let permits = ((slot as f64 + 0.5 + windows_since_start) / replicas as f64).fract();
+        SlowStartBucket { started_at, listed_at: now, permits }
     }
 
     /// When the process started, as listed.
@@ -58,28 +63,30 @@
 
     /// Whether slow start lets this router send the worker an attempt now.
     pub fn allows_attempt(&self, settings: &Settings, now: Micros) -> bool {
-        !self.is_active(settings, now) || self.tokens >= 1.0
+        !self.is_active(settings, now) || self.permits >= 1.0
     }
 
-    /// Takes the token of an attempt that has been sent.
+    /// Takes the permit of an attempt that has been sent.
     pub fn spend(&mut self) {
-        self.tokens -= 1.0;
+        self.permits -= 1.0;
     }
 
-    /// Refills the bucket at this many tokens a microsecond for the time since `refilled_at`. What is saved
-    /// up and spent in one window comes to the whole budget and its allowance for chance. Where that is less
-    /// than a token, one that is not spent lapses: dozens of routers that saved theirs up would spend them in
-    /// one burst.
+    /// Refills the bucket at this many permits a microsecond for the time since `refilled_at`.
+    ///
+    /// The bucket holds at most one whole permit. What all routers have saved up and then earn in one window
+    /// comes to the budget and its allowance for chance. Where this router's part of what may be
+    /// saved up (`per_window_with_allowance`) is less than a permit, the permit lapses when as much again has
+    /// been earned without spending it: dozens of routers that saved theirs up would spend them in one burst.
     pub fn refill(&mut self, rate: f64, refilled_at: Micros, settings: &Settings, now: Micros) {
         let time = now - refilled_at.max(self.listed_at).min(now);
         let per_window = rate * settings.overload_window as f64;
-        let budget = BUDGET_OVER_REFILL * per_window * f64::from(settings.replica_count.max(1));
-        let capacity = per_window * (1.0 + BURST_STANDARD_DEVIATIONS / budget.sqrt());
-        let tokens = self.tokens + rate * time as f64;
-        self.tokens = if capacity < 1.0 {
-            if tokens >= 1.0 + capacity { tokens.fract() } else { tokens }
+        let budget = BUDGET_PER_REFILL_RATIO * per_window * f64::from(settings.replica_count.max(1));
+        let per_window_with_allowance = per_window * (1.0 + BURST_STANDARD_DEVIATIONS / budget.sqrt());
+        let permits = self.permits + rate * time as f64;
+        self.permits = if per_window_with_allowance < 1.0 {
+            if permits >= 1.0 + per_window_with_allowance { permits.fract() } else { permits }
         } else {
-            tokens.min(1.0)
+            permits.min(1.0)
         };
     }
 }
--- a/tests/policy_slow_start.rs
+++ b/tests/policy_slow_start.rs
@@ -74,10 +74,10 @@
     (0..).map(|i| format!("p{i}")).find(has_another_home).unwrap()
 }
 
-/// A worker is overloaded by the sum of what all routers send: tokens that were saved up in a quiet period must not be
-/// spent together on one burst.
+/// A worker is overloaded by the sum of what all routers send: permits that were saved up in a quiet period must not
+/// be spent together on one burst.
 #[test]
-fn thirty_routers_that_saved_tokens_up_stay_within_the_fleet_s_budget() {
+fn thirty_routers_that_saved_permits_up_stay_within_the_fleet_s_budget() {
     const ROUTERS: u32 = 30;
     let names = ["r3", "r1", "r2", "w1"];
     let fleet = names.map(|w| endpoint(w, 0, WorkerStatus::Ready, None));
@@ -123,9 +123,9 @@
     assert!(burst >= 2, "{burst} at once: the starting worker is not used");
 }
 
-/// A router's token depends on its replica index and the worker's start, not on the router's own start.
+/// A router's permit depends on its replica index and the worker's start, not on the router's own start.
 #[test]
-fn a_router_that_restarts_does_not_get_its_token_again() {
+fn a_router_that_restarts_does_not_get_its_permit_again() {
     let start_router = |now: Micros, seed: u64, worker_start: Micros| {
         let set = Settings { replica_count: 8, replica_index: 3, ..settings() };
         let mut rig = Rig { policy: Policy::new(set.clone(), seed), now, ..Rig::new(set) };
@@ -146,14 +146,14 @@
     };
     let worker_start = 100 * SECOND;
     let mut rig = start_router(worker_start, 0, worker_start);
-    assert!(sends_within(&mut rig, 9 * SECOND), "it never got a token");
+    assert!(sends_within(&mut rig, 9 * SECOND), "it never got a permit");
     for seed in 1..20 {
         let mut again = start_router(rig.now + 50 * MS, seed, worker_start);
         assert!(!sends_within(&mut again, 4 * SECOND), "sent again after a restart");
     }
 }
 
-/// Found in ticket5632: of hundreds of routers hardly any had a prompt for a restarted worker when it had a token, and
+/// Found in ticket5632: of hundreds of routers hardly any had a prompt for a restarted worker when it had a permit, and
 /// workers with capacity were idle beside congested ones. All the same, routers must not overload it together.
 #[test]
 fn many_routers_together_use_what_a_starting_worker_can_do_and_no_more() {
@@ -210,7 +210,7 @@
     assert!(f64::from(each_second.iter().sum::<i32>()) >= whole / 2.0, "{each_second:?} of {whole}");
 }
 
-/// A prompt that takes too long on a starting worker is not sent there, although it has a token.
+/// A prompt that takes too long on a starting worker is not sent there, although it has a permit.
 #[test]
 fn a_starting_worker_is_not_preferred_for_what_it_cannot_prefill_in_time() {
     for (prompt_tokens, prefill_worker) in [(2_000, "r3"), (40_000, "r1")] {
