--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -88,8 +88,8 @@
         best: &DecodeCandidate<'a>,
     ) -> Option<&DecodeCandidate<'a>> {
         let best_distance = holder.distance_to(best.worker);
-        let position = self.locality_position();
-        let near_health = self.near_health();
+        let draw = self.locality_draw();
+        let near_timeout_factor = self.near_timeout_factor();
         let in_cell = self.emptiest(|worker| worker.cell == holder.cell);
         let is_in_zone = |worker: &Worker| worker.zone == holder.zone;
         let in_zone = self
@@ -101,19 +101,23 @@
         ];
         places.into_iter().find_map(|(distance, candidate, locality_share)| {
             let allowance = SIGNIFICANTLY_FULLER
-                * self.load_uncertainty(distance)
+                * self.fleet_multiplier(distance)
                 * self.latency_advantage(distance, best_distance);
             let link_advantage = self.latency_advantage(distance, distance.next());
-            let staying_share = locality_share * link_advantage.min(1.0 + SIGNIFICANTLY_FULLER) * near_health;
+            let staying_share =
+                locality_share * link_advantage.min(1.0 + SIGNIFICANTLY_FULLER) * near_timeout_factor;
             let is_not_fuller =
                 |c: &&DecodeCandidate| c.projected_memory <= best.projected_memory + allowance;
-            candidate.filter(is_not_fuller).filter(|_| position < staying_share)
+            candidate.filter(is_not_fuller).filter(|_| draw < staying_share)
         })
     }
 
+    /// Multiplies the memory by which a nearer worker may be fuller than the best one: the number of routers
+    /// for a worker in the cache's cell while load can't be observed, else 1.
+    ///
     /// Without reports an attempt of this router stands for one of each router: it says next to nothing of
     /// what they do, and is no reason to leave the cell.
-    fn load_uncertainty(&self, distance: Distance) -> f64 {
+    fn fleet_multiplier(&self, distance: Distance) -> f64 {
         let settings = self.context.settings;
         if distance == Distance::SameCell && settings.is_load_unobservable() {
             f64::from(settings.replica_count)
@@ -134,14 +138,14 @@
         self.context.latency.decode_time_per_token(distance).value_or(0.0)
     }
 
-    /// The request's position between 0 and 1 in the order in which requests stay near: those whose position
-    /// is below the staying share do.
+    /// The request's draw between 0 and 1, by its number: requests whose draw is below the staying share stay
+    /// near the KV cache.
     ///
     /// Routers that can't see the others' attempts keep near only what the near decode workers' share of all
     /// decode capacity holds of the near prefill workers' share; the rest goes where there is capacity. While
     /// KV caches have just not arrived out of the cell in time, the near workers take all that they have
     /// capacity for: guards against slow links, which the learned latencies show only after seconds.
-    fn locality_position(&self) -> f64 {
+    fn locality_draw(&self) -> f64 {
         let remote_timeouts = self.context.decode_timeouts.elsewhere.value_at(self.context.now);
         if remote_timeouts >= REMOTE_TIMEOUTS_TO_STAY_NEAR {
             return 0.0;
@@ -156,7 +160,7 @@
     /// It is never 0, else nobody would see that the near workers have recovered. Guards against congestion
     /// that no report shows; harms where the whole fleet is congested. Where remote first tokens take
     /// longer than distance alone explains, links are slow, and moving away would be worse.
-    fn near_health(&self) -> f64 {
+    fn near_timeout_factor(&self) -> f64 {
         let now = self.context.now;
         let timeouts = self.context.decode_timeouts;
         let has_slow_links = self.time_per_token(Distance::Remote)
