--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -30,13 +30,16 @@
     CacheMissing,
     /// No response in time; the request may have run.
     TimedOut,
-    /// The attempt never reached the worker.
+    /// Not delivered in full, so that the request did not run: the connection could not be established, it
+    /// broke or writing was stopped before the request's last byte, or time ran out before it. Counts against
+    /// the worker.
     ConnectFailed,
     /// The connection broke; the request may have run.
     ConnectionLost,
     /// Cancelled by the router; the request may have run.
     Cancelled,
-    /// Nothing was sent.
+    /// Withheld by the router before the first byte, or this machine could not send it: the request did not
+    /// run. Does not count against the worker.
     NotSent,
 }
 
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -28,7 +28,7 @@
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// A decode worker has answered a reservation.
+    /// A decode worker has answered a reservation. The present policy reserves nothing and ignores it.
     SlotReserved {
         /// The request.
         request: RequestId,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -63,11 +63,12 @@
     pub first_token_objective_per_1000_tokens: Micros,
     /// Latency objective for the time between tokens.
     pub inter_token_objective: Micros,
-    /// How long a client waits, over all its retries.
+    /// How long a client waits, over all its retries. The present policy does not read it: each request brings
+    /// its own deadline.
     pub client_timeout: Micros,
     /// Priority weight, per request or per unit of work.
     pub priority_weight: f64,
-    /// Share of the weight that a late answer still earns.
+    /// Share of the weight that a late answer still earns. The present policy does not read it.
     pub late_weight: f64,
 }
 
@@ -113,7 +114,8 @@
     pub load_reporting: LoadReporting,
     /// Whether updates of the endpoint list come only on a watch.
     pub watch_required: bool,
-    /// A router without a watch counts as notified of an update this long after it happened.
+    /// A router without a watch counts as notified of an update this long after it happened. The present
+    /// policy does not read it.
     pub notification_delay: Micros,
     /// Whether health checks are allowed.
     pub health_checks_allowed: bool,
@@ -121,7 +123,8 @@
     pub gossip_allowed: bool,
     /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Whether two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once. The present policy does not read it, as
+    /// it never hedges; `rules::send` does.
     pub hedging_allowed: bool,
     /// Whether a decode worker processes the prompt itself when there is no KV cache to fetch.
     pub decode_can_prefill: bool,
@@ -137,9 +140,10 @@
     pub event_interval: Micros,
     /// A KV cache or slot held while no attempt is in flight must be fetched or released within this.
     pub cache_hold_limit: Micros,
-    /// A final answer still counts this long after the client's deadline.
+    /// A final answer still counts this long after the client's deadline. Read by the runtime alone.
     pub answer_grace: Micros,
-    /// Nothing new may reach a draining or removed worker later than this after the notification.
+    /// Nothing new may reach a draining or removed worker later than this after the notification. The present
+    /// policy does not read it: it sends nothing to such a worker from the notification on.
     pub drain_grace: Micros,
     /// A worker starts with at least this part of its capacity.
     pub slow_start_floor: f64,
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,4 +1,8 @@
 //! Outlier detection: workers that fail are ejected for a time, twice as long after each failed trial.
+//!
+//! A trial is an attempt sent to a worker whose ejection has ended, but which has not succeeded since: it
+//! gets one at a time, unless most of its role looks unhealthy. If it succeeds, the failure rate halves and
+//! the worker may be used as before; if it fails, the worker is ejected again.
 
 use super::MAX_BACKOFF_DOUBLINGS;
 use crate::interface::{Micros, Settings};
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -65,7 +65,7 @@
     pub memory_tokens: f64,
     /// Whether it is in service.
     pub status: WorkerStatus,
-    /// How many KV caches stay in its cell and zone.
+    /// Decode share over prefill share of its cell and zone.
     pub locality_share: LocalityShare,
     /// Its budget while it warms up.
     pub slow_start: SlowStartBucket,
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -1,4 +1,8 @@
 //! When a client's connection is closed, and why.
+//!
+//! Two rules have their place elsewhere. A connection with a stream in flight is never due here:
+//! `net::upstream::stream` cuts a stream whose client takes nothing of it. Which connections are evicted when
+//! slots run short is chosen by `net::server::connections`; here it is only decided when an evicted one closes.
 
 use std::fmt;
 use std::time::Duration;
