--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -36,8 +36,9 @@
         stage: Stage,
         /// The attempt's timeout; `None`: the client's deadline.
         timeout: Option<Micros>,
-        /// It may only begin before this: a repeat has to arrive inside its deduplication window. `None`: at any time.
-        begin_before: Option<Micros>,
+        /// Its first byte must be written before this, so that it arrives inside its deduplication window.
+        /// `None`: at any time.
+        deduplication_deadline: Option<Micros>,
     },
     /// Reject the request: retrying is harmless.
     Reject {
@@ -62,7 +63,8 @@
         /// The attempt.
         attempt: AttemptIndex,
     },
-    /// Reserve a slot at a decode worker while a prefill is in flight.
+    /// Reserve a slot at a decode worker while a prefill is in flight. The present policy never does: it
+    /// chooses the decode worker after the prefill.
     ReserveSlot {
         /// The request.
         request: RequestId,
@@ -74,7 +76,7 @@
         /// The request.
         request: RequestId,
     },
-    /// End a running stream so that its client resumes it elsewhere.
+    /// End a running stream so that its client resumes it elsewhere. The present policy never does.
     MigrateStream {
         /// The request.
         request: RequestId,
@@ -91,7 +93,7 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Close idle connections to a worker.
+    /// Close idle connections to a worker. The present policy never does.
     CloseIdleConnections {
         /// The worker.
         worker: WorkerId,
@@ -105,8 +107,8 @@
     },
     /// Watch discovery for updates of the endpoint list.
     WatchEndpoints,
-    /// Poll discovery once for the complete list.
+    /// Poll discovery once for the complete list. The present policy never does.
     PollEndpoints,
-    /// A line for the operators' log.
+    /// A line for the operators' log. The present policy writes none.
     Log(String),
 }
--- a/src/net/upstream/send_guard.rs
+++ b/src/net/upstream/send_guard.rs
@@ -18,7 +18,7 @@
     state: RequestState,
     client: ClientConnection,
     deadline: Micros,
-    begin_before: Option<Micros>,
+    deduplication_deadline: Option<Micros>,
     worker: WorkerId,
     directory: Rc<Directory>,
 }
@@ -29,7 +29,7 @@
             state: attempt.state.clone(),
             client: attempt.forwarded.client.clone(),
             deadline: attempt.deadline,
-            begin_before: attempt.begin_before,
+            deduplication_deadline: attempt.deduplication_deadline,
             worker: attempt.worker.clone(),
             directory: directory.clone(),
         }
@@ -41,7 +41,7 @@
             client_disconnected: self.client.has_left(),
             now,
             deadline: self.deadline,
-            begin_before: self.begin_before,
+            deduplication_deadline: self.deduplication_deadline,
             worker_is_ready: self.directory.is_ready(&self.worker),
         })
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,5 @@
 //! Admission: where a queued request would go, and whether it can be answered in time from there.
 
-use super::STAGE_SHARE;
 use super::context::DecisionContext;
 use super::decode_choice::DecodeChooser;
 use super::eligibility::eligible_workers;
@@ -9,6 +8,7 @@
 use super::request::{Request, RequestPhase};
 use super::tenant_quotas::QuotaStatus;
 use super::worker::Distance;
+use super::{ATTEMPT_SHARE, PREFILL_SHARE};
 use crate::interface::{EndReason, Role, Stage, WorkerId};
 
 /// A request that takes longer than its latency objective when served alone may take this multiple of that
@@ -66,7 +66,7 @@
         if decode_worker_count == 0 {
             return None;
         }
-        let time_budget = context.first_token_objective(request) as f64 * (1.0 - STAGE_SHARE);
+        let time_budget = context.first_token_objective(request) as f64 * PREFILL_SHARE;
         let chooser = PrefillChooser::new(context, &request.spec, &prefill_workers);
         let PrefillChoice { worker, uncached_tokens } = chooser.choose(time_budget)?;
         Some(Route { worker, stage: PlannedStage::Prefill { uncached_tokens }, decode_worker_count })
@@ -166,14 +166,14 @@
 
     fn is_prefill_in_time(&self) -> bool {
         let time = self.prefill_time(self.queued_tokens + self.uncached_tokens);
-        self.queued_tokens == 0.0 || time <= self.objective * (1.0 - STAGE_SHARE)
+        self.queued_tokens == 0.0 || time <= self.objective * PREFILL_SHARE
     }
 
     fn is_decode_in_time(&self) -> bool {
         let decode_workers = self.route.decode_worker_count;
         let queue_per_worker = self.started_prompts().sum::<f64>() / decode_workers.max(1) as f64;
         let time = self.first_token_time(queue_per_worker + self.prompt_tokens);
-        self.started_prompts().count() < decode_workers || time <= self.objective * STAGE_SHARE
+        self.started_prompts().count() < decode_workers || time <= self.objective * ATTEMPT_SHARE
     }
 
     /// Whether the answer cannot begin before the client leaves, so that a prefill would be wasted.
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -1,12 +1,12 @@
 //! The plan of one attempt: whether every rule allows it, and its timeout.
 
-use super::STAGE_SHARE;
 use super::admission::PlannedStage;
 use super::context::DecisionContext;
 use super::load_estimator::LoadEstimator;
-use super::request::{Attempt, Request};
+use super::request::{Request, TrackedAttempt};
 use super::retry;
 use super::worker::{Distance, Worker};
+use super::{ATTEMPT_SHARE, PREFILL_SHARE};
 use crate::interface::{Idempotency, Micros, RequestId, Stage, WorkerId};
 
 /// An attempt is overdue at this multiple of what it should take: more than other routers' queues explain.
@@ -18,11 +18,11 @@
 /// An attempt that may be sent.
 pub(super) struct AttemptPlan {
     /// The attempt.
-    pub attempt: Attempt,
+    pub attempt: TrackedAttempt,
     /// Its timeout; `None`: the client's deadline.
     pub timeout: Option<Micros>,
-    /// Until when it has to arrive as a retry inside its deduplication window.
-    pub begin_before: Option<Micros>,
+    /// Its first byte must be written before this, so that it arrives inside its deduplication window.
+    pub deduplication_deadline: Option<Micros>,
 }
 
 impl AttemptPlan {
@@ -42,10 +42,12 @@
         let estimate = AttemptEstimate::new(context, request, worker_id, worker, planned);
         let due = estimate.time_until_due();
         let class = context.class(request);
-        // A decode attempt that must not be repeated at will gets all the time there is.
-        let is_last = planned.stage() == Stage::Decode && class.idempotency != Idempotency::Idempotent;
-        let retry_before = retry::retry_before(context, request, worker);
-        let attempt = Attempt {
+        // Once such a decode attempt may have run, no retry is possible, or only inside its deduplication
+        // window. So it is not timed out for one: it gets all the time that is left to the client's deadline.
+        let is_retry_restricted =
+            planned.stage() == Stage::Decode && class.idempotency != Idempotency::Idempotent;
+        let retry_deadline = retry::retry_deadline(context, request, worker);
+        let attempt = TrackedAttempt {
             worker: worker_id.clone(),
             stage: planned.stage(),
             distance: estimate.distance,
@@ -58,8 +60,8 @@
         };
         Some(AttemptPlan {
             attempt,
-            timeout: (!is_last).then_some(due),
-            begin_before: retry_before.filter(|_| request.may_have_run()),
+            timeout: (!is_retry_restricted).then_some(due),
+            deduplication_deadline: retry_deadline.filter(|_| request.may_have_run()),
         })
     }
 }
@@ -90,6 +92,7 @@
     uncached_tokens: f64,
     /// Time for each token of work.
     time_per_token: f64,
+    /// How much longer the worker takes than the median worker of its role; at least 1.
     relative_slowness: f64,
 }
 
@@ -103,7 +106,7 @@
     ) -> Self {
         let latency = context.latency;
         let prompt_tokens = request.spec.prompt_tokens as f64;
-        let holder = request.phase().held_cache().and_then(|cache| context.membership.get(&cache.worker));
+        let holder = request.phase().cache_hold().and_then(|cache| context.membership.get(&cache.worker));
         let distance = holder.map_or(Distance::Remote, |holder| holder.distance_to(worker));
         let (uncached_tokens, tokens, work, time_per_token) = match planned {
             PlannedStage::Prefill { uncached_tokens } => {
@@ -163,7 +166,7 @@
     fn least_timeout(&self) -> Micros {
         let objective = self.context.first_token_objective(self.request) as f64;
         let is_unobservable = self.stage == Stage::Prefill && self.context.settings.is_load_unobservable();
-        let share = objective * if is_unobservable { 1.0 - STAGE_SHARE } else { STAGE_SHARE };
+        let share = objective * if is_unobservable { PREFILL_SHARE } else { ATTEMPT_SHARE };
         let retry_time = self.retry_time(objective);
         let waited = (self.context.now - self.request.received_at) as f64;
         let is_retry_late = waited + share + retry_time > objective;
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -4,7 +4,7 @@
 use super::latency_model::{LatencyModel, TimeoutBackoff};
 use super::membership::Membership;
 use super::prefix_table::PrefixTable;
-use super::request::{Request, RequestTable};
+use super::request::{Request, Requests};
 use super::tenant_quotas::QuotaStatus;
 use crate::interface::{Class, Micros, Settings, WorkerId};
 
@@ -23,7 +23,7 @@
     /// The workers.
     pub membership: &'a Membership,
     /// The requests in progress.
-    pub requests: &'a RequestTable,
+    pub requests: &'a Requests,
     /// What is presumed to be cached where.
     pub prefixes: &'a PrefixTable,
     /// Learned latencies and sizes.
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -1,7 +1,7 @@
 //! Which workers may be sent a request now.
 
 use super::context::DecisionContext;
-use super::request::{Attempt, Request};
+use super::request::{Request, TrackedAttempt};
 use super::retry;
 use super::worker::Worker;
 use crate::interface::{Role, WorkerId};
@@ -67,7 +67,8 @@
 /// worker that hangs or is cut off shows itself by those.
 fn is_healthy(context: DecisionContext<'_>, candidate: &EligibleWorker<'_>) -> bool {
     let outlier = &candidate.worker.outlier;
-    let is_overdue = |a: &Attempt| a.due_at <= context.now && outlier.is_silent_since(a.sent_at);
-    let is_bad_sign = |a: &Attempt| a.started_at.is_none() && (outlier.is_suspect() || is_overdue(a));
-    !outlier.is_ejected(context.now) && !context.requests.in_flight_at(candidate.id).any(is_bad_sign)
+    let is_overdue = |a: &TrackedAttempt| a.due_at <= context.now && outlier.is_silent_since(a.sent_at);
+    let makes_suspect =
+        |a: &TrackedAttempt| a.started_at.is_none() && (outlier.is_suspect() || is_overdue(a));
+    !outlier.is_ejected(context.now) && !context.requests.in_flight_at(candidate.id).any(makes_suspect)
 }
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -3,7 +3,7 @@
 use super::decode_timeouts::DecodeTimeouts;
 use super::latency_model::{LatencyKind, LatencyModel, TimeoutBackoff};
 use super::membership::Membership;
-use super::request::Attempt;
+use super::request::TrackedAttempt;
 use super::statistics::LOAD_HALF_LIFE;
 use super::worker::TrafficKey;
 use crate::interface::{Micros, Outcome, Settings, Stage, WorkerId};
@@ -15,7 +15,7 @@
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
     /// The attempt as it was in flight.
-    pub attempt: Attempt,
+    pub attempt: TrackedAttempt,
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took, by the caller's measure.
@@ -44,7 +44,7 @@
 
 impl Feedback<'_> {
     /// Learns from an attempt whose stream has started after `elapsed`.
-    pub fn stream_started(&mut self, attempt: &Attempt, elapsed: Micros) {
+    pub fn stream_started(&mut self, attempt: &TrackedAttempt, elapsed: Micros) {
         self.timeout_backoff.record_success(Stage::Decode);
         self.record_success(&attempt.worker);
         self.record_latency(
@@ -101,7 +101,7 @@
                 // Without a report, the timeout counts as if the worker had reported so much work.
                 let time_per_token = self.latency.prefill_time_per_token().value_or(f64::MAX).max(1e-9);
                 if let Some(worker) = self.membership.get_mut(&attempt.worker) {
-                    worker.load.add_peer_tokens(self.now, *elapsed as f64 / time_per_token);
+                    worker.load.add_presumed_tokens(self.now, *elapsed as f64 / time_per_token);
                 }
             }
             Stage::Prefill => {}
@@ -114,7 +114,7 @@
         }
     }
 
-    fn record_failure(&mut self, attempt: &Attempt) {
+    fn record_failure(&mut self, attempt: &TrackedAttempt) {
         if let Some(worker) = self.membership.get_mut(&attempt.worker) {
             worker.outlier.record_failure(self.now, attempt.sent_at, self.settings);
         }
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -10,7 +10,7 @@
 use super::feedback::EndedAttempt;
 use super::final_answer::{end_reason, final_answer};
 use super::load_view::ReportNeed;
-use super::request::{HeldCache, Request, RequestPhase};
+use super::request::{CacheHold, Request, RequestPhase};
 use super::sweep::sweep_margin;
 use crate::interface::*;
 
@@ -109,7 +109,7 @@
 
     /// Sends a request whose KV cache is held to a decode worker, or releases the cache and queues the
     /// request again when the hold limit is near.
-    fn request_decode(&mut self, id: RequestId, cache: &HeldCache, out: &mut Vec<Action>) {
+    fn request_decode(&mut self, id: RequestId, cache: &CacheHold, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let margin = sweep_margin(&self.settings) + self.settings.event_interval;
         let release_at = cache.idle_since + self.settings.cache_hold_limit.saturating_sub(margin);
@@ -155,7 +155,7 @@
     /// here.
     fn send(&mut self, id: RequestId, worker_id: &WorkerId, stage: PlannedStage, out: &mut Vec<Action>) {
         let Some(plan) = AttemptPlan::new(self.context(), id, worker_id, stage) else { return };
-        let AttemptPlan { attempt, timeout, begin_before } = plan;
+        let AttemptPlan { attempt, timeout, deduplication_deadline } = plan;
         let (stage, tokens) = (attempt.stage, attempt.tokens);
         if let Some(worker) = self.membership.get_mut(worker_id) {
             worker.slow_start.spend();
@@ -169,7 +169,13 @@
         if stage == Stage::Prefill {
             self.gossip(worker_id, tokens, out);
         }
-        out.push(Action::Send { request: id, worker: worker_id.clone(), stage, timeout, begin_before });
+        out.push(Action::Send {
+            request: id,
+            worker: worker_id.clone(),
+            stage,
+            timeout,
+            deduplication_deadline,
+        });
     }
 
     /// Records that an attempt's stream has started.
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -27,7 +27,7 @@
         LoadEstimator { context }
     }
 
-    /// Prompt tokens that wait at a worker: this router's, what is gossiped of the others', and what is
+    /// Prompt tokens that wait at a worker: this router's, those presumed by gossip and timeouts, and what is
     /// reported. An old report decays to `average`, the average one, never to an empty queue that would draw
     /// prompts away from where they are cached.
     pub fn queued_tokens(&self, worker: &WorkerId, average: f64) -> f64 {
@@ -38,8 +38,8 @@
             .sum();
         let ReportedQueue { tokens, trust } = self.reported_queue(worker);
         let known = self.context.membership.get(worker);
-        let gossiped = known.map_or(0.0, |worker| worker.load.peer_tokens(now));
-        own + gossiped + trust * tokens + (1.0 - trust) * average
+        let presumed = known.map_or(0.0, |worker| worker.load.presumed_tokens(now));
+        own + presumed + trust * tokens + (1.0 - trust) * average
     }
 
     /// The queue that a worker has reported. Cached tokens are reported to wait, too, and are taken off here.
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -28,8 +28,9 @@
 pub(super) struct LoadView {
     report: Option<ReceivedReport>,
     health_check_sent_at: Option<Micros>,
-    /// Tokens that wait there according to other routers' gossip and to prefills that timed out.
-    peer_tokens: DecayingSum,
+    /// Tokens that wait there according to other routers' gossip, and those presumed from this
+    /// router's own prefills that timed out.
+    presumed_tokens: DecayingSum,
 }
 
 impl LoadView {
@@ -42,9 +43,9 @@
         self.report = Some(ReceivedReport { received_at: now, report });
     }
 
-    /// Records tokens that wait there by gossip or by a timeout; negative when they are done.
-    pub fn add_peer_tokens(&mut self, now: Micros, tokens: f64) {
-        self.peer_tokens.add(now, tokens);
+    /// Adds tokens that are presumed to wait there by gossip or by a timeout; negative when they are done.
+    pub fn add_presumed_tokens(&mut self, now: Micros, tokens: f64) {
+        self.presumed_tokens.add(now, tokens);
     }
 
     /// Whether a report that came at `fresh_since` or later is known, pending, or missing.
@@ -72,9 +73,9 @@
         self.report
     }
 
-    /// Tokens that wait there according to gossip and timeouts.
-    pub fn peer_tokens(&self, now: Micros) -> f64 {
-        self.peer_tokens.value_at(now)
+    /// Tokens that are presumed to wait there by gossip and timeouts.
+    pub fn presumed_tokens(&self, now: Micros) -> f64 {
+        self.presumed_tokens.value_at(now)
     }
 
     /// The reported share of its memory in use.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,7 +9,7 @@
 //! | May a queued request start, and where? | `admission`, `prefill_choice`, `decode_choice`, `eligibility` |
 //! | How long may an attempt take? | `attempt_plan` |
 //! | May it be sent again? | `retry` |
-//! | Why and how does a request end without a worker's answer? | `final_answer` |
+//! | Why and how does a request end unanswered by a worker? | `final_answer`; while queued also `admission` |
 //! | Who owns requests and their phases? | `request` |
 //! | Who owns the fleet? | `membership`, `worker`, `discovery_watch` |
 //! | Who owns the health and load of a worker? | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
@@ -60,14 +60,20 @@
 use lifecycle::AdvanceScope;
 use membership::Membership;
 use prefix_table::PrefixTable;
-use request::RequestTable;
+use request::Requests;
 use slow_start::SlowStart;
 use sweep::SweepTimer;
 use tenant_quotas::TenantQuotas;
 
-/// The share of its latency objective that a prefill, and the start of a decode, may take: the last third is
-/// for another attempt.
-const STAGE_SHARE: f64 = 1.0 / 3.0;
+/// A share of a request's latency objective with two uses. In `attempt_plan` it is the least timeout of an
+/// attempt, if the client's deadline leaves as much: the objective then holds another attempt. In `admission`
+/// it is the most that the first token may take after the prefill when every decode worker has a request.
+const ATTEMPT_SHARE: f64 = 1.0 / 3.0;
+
+/// The rest of the latency objective, with two uses as well. In `admission` it is the most that a prefill may
+/// take with the queue before it; [`ATTEMPT_SHARE`] is left for the first token. In `attempt_plan` it is the
+/// least timeout of a prefill whose load can't be observed, while a retry after it would still be in time.
+const PREFILL_SHARE: f64 = 1.0 - ATTEMPT_SHARE;
 
 /// Backoffs double at most this many times: a worker, or discovery, that recovers is used again soon.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
@@ -81,7 +87,7 @@
     membership: Membership,
     watch: DiscoveryWatch,
     slow_start: SlowStart,
-    requests: RequestTable,
+    requests: Requests,
     quotas: TenantQuotas,
     prefixes: PrefixTable,
     latency: LatencyModel,
@@ -206,7 +212,7 @@
         let Some(change) = QueueChange::decode(payload) else { return };
         let mut workers = self.membership.iter_mut();
         if let Some((_, worker)) = workers.find(|(id, _)| worker_digest(id) == change.worker_digest) {
-            worker.load.add_peer_tokens(self.now, change.tokens);
+            worker.load.add_presumed_tokens(self.now, change.tokens);
         }
     }
 }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -10,9 +10,9 @@
 /// Health checks that one request may cause: of the chosen prefill worker, and of two that may stand in.
 const MAX_HEALTH_CHECKS: u32 = 3;
 
-/// A KV cache that a prefill left at its worker.
+/// The hold of a KV cache that a prefill left at its worker.
 #[derive(Clone)]
-pub(super) struct HeldCache {
+pub(super) struct CacheHold {
     /// The prefill worker that holds it.
     pub worker: WorkerId,
     /// Since when no attempt that reached a worker has been in flight: the hold limit counts from here.
@@ -26,9 +26,9 @@
     /// A prefill attempt is in flight.
     Prefilling,
     /// The KV cache waits at a prefill worker; no attempt is in flight.
-    AwaitingDecode { cache: HeldCache },
+    AwaitingDecode { cache: CacheHold },
     /// A decode attempt is in flight. Without a cache to fetch, the worker processes the prompt itself.
-    DecodeRequested { cache: Option<HeldCache> },
+    DecodeRequested { cache: Option<CacheHold> },
     /// The answer is streaming to the client.
     Streaming,
     /// The request has its final answer, or its client has left; attempts may still be in flight.
@@ -36,8 +36,8 @@
 }
 
 impl RequestPhase {
-    /// The KV cache that is held for the request.
-    pub fn held_cache(&self) -> Option<&HeldCache> {
+    /// The hold of the request's KV cache, if one is held.
+    pub fn cache_hold(&self) -> Option<&CacheHold> {
         match self {
             RequestPhase::AwaitingDecode { cache } => Some(cache),
             RequestPhase::DecodeRequested { cache } => cache.as_ref(),
@@ -45,7 +45,7 @@
         }
     }
 
-    fn into_held_cache(self) -> Option<HeldCache> {
+    fn into_cache_hold(self) -> Option<CacheHold> {
         match self {
             RequestPhase::AwaitingDecode { cache } => Some(cache),
             RequestPhase::DecodeRequested { cache } => cache,
@@ -59,9 +59,9 @@
     }
 }
 
-/// One attempt of a request at a worker.
+/// What the policy knows of one attempt of a request at a worker.
 #[derive(Clone)]
-pub(super) struct Attempt {
+pub(super) struct TrackedAttempt {
     /// The worker.
     pub worker: WorkerId,
     /// What it was asked to do.
@@ -82,7 +82,7 @@
     pub started_at: Option<Micros>,
 }
 
-impl Attempt {
+impl TrackedAttempt {
     /// Whether it may have had an effect, or still may.
     fn may_have_run(&self) -> bool {
         match self.outcome {
@@ -103,7 +103,7 @@
     /// Where it stands with its tenant's quota.
     pub quota: QuotaStatus,
     phase: RequestPhase,
-    attempts: Vec<Attempt>,
+    attempts: Vec<TrackedAttempt>,
     health_checks_left: u32,
 }
 
@@ -121,7 +121,7 @@
     }
 
     /// Its attempts in the order of sending.
-    pub fn attempts(&self) -> &[Attempt] {
+    pub fn attempts(&self) -> &[TrackedAttempt] {
         &self.attempts
     }
 
@@ -132,13 +132,13 @@
     }
 
     /// The attempts without an outcome.
-    pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn in_flight(&self) -> impl Iterator<Item = &TrackedAttempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
 
     /// Whether some attempt may have had an effect, or still may.
     pub fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(Attempt::may_have_run)
+        self.attempts.iter().any(TrackedAttempt::may_have_run)
     }
 
     /// Whether some decode worker did not start its stream in time.
@@ -169,8 +169,8 @@
     }
 
     /// Records an attempt that has just been sent. A decode attempt keeps the held KV cache.
-    pub fn begin_attempt(&mut self, attempt: Attempt) {
-        let cache = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_held_cache();
+    pub fn begin_attempt(&mut self, attempt: TrackedAttempt) {
+        let cache = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_cache_hold();
         self.phase = match attempt.stage {
             Stage::Prefill => RequestPhase::Prefilling,
             Stage::Decode => RequestPhase::DecodeRequested { cache },
@@ -180,7 +180,7 @@
 
     /// Records the start of an attempt's stream: the worker has fetched the KV cache by then. Returns the
     /// attempt, if there is one of that index.
-    pub fn start_stream(&mut self, index: AttemptIndex, now: Micros) -> Option<Attempt> {
+    pub fn start_stream(&mut self, index: AttemptIndex, now: Micros) -> Option<TrackedAttempt> {
         let attempt = self.attempts.get_mut(index.0 as usize)?;
         attempt.started_at = Some(now);
         if !matches!(self.phase, RequestPhase::Answered) {
@@ -191,7 +191,12 @@
 
     /// Records an attempt's outcome. Returns the attempt as it was before, or `None` if there is none of that
     /// index or it has already ended.
-    pub fn end_attempt(&mut self, index: AttemptIndex, outcome: Outcome, now: Micros) -> Option<Attempt> {
+    pub fn end_attempt(
+        &mut self,
+        index: AttemptIndex,
+        outcome: Outcome,
+        now: Micros,
+    ) -> Option<TrackedAttempt> {
         let attempt = self.attempts.get_mut(index.0 as usize)?;
         if attempt.outcome.is_some() {
             return None;
@@ -201,13 +206,13 @@
         if matches!(self.phase, RequestPhase::Answered) {
             return Some(ended);
         }
-        let held = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_held_cache();
+        let held = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_cache_hold();
         let cache = match outcome {
-            Outcome::PrefillCompleted => Some(HeldCache { worker: ended.worker.clone(), idle_since: now }),
+            Outcome::PrefillCompleted => Some(CacheHold { worker: ended.worker.clone(), idle_since: now }),
             Outcome::CacheMissing => None,
             // An attempt that reached no worker did not fetch the cache: the hold limit runs on.
             Outcome::ConnectFailed | Outcome::NotSent => held,
-            _ => held.map(|cache| HeldCache { idle_since: now, ..cache }),
+            _ => held.map(|cache| CacheHold { idle_since: now, ..cache }),
         };
         self.phase = cache.map_or(RequestPhase::Queued, |cache| RequestPhase::AwaitingDecode { cache });
         Some(ended)
@@ -216,17 +221,17 @@
     /// Assumes that an ended attempt left a KV cache or a slot behind, so that closing the request releases
     /// it.
     pub fn assume_cache_at(&mut self, worker: WorkerId, now: Micros) {
-        self.phase = RequestPhase::AwaitingDecode { cache: HeldCache { worker, idle_since: now } };
+        self.phase = RequestPhase::AwaitingDecode { cache: CacheHold { worker, idle_since: now } };
     }
 }
 
 /// All requests in progress, in the order of their numbers.
 #[derive(Default)]
-pub(super) struct RequestTable {
+pub(super) struct Requests {
     requests: BTreeMap<RequestId, Request>,
 }
 
-impl RequestTable {
+impl Requests {
     /// Whether no request is in progress.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
@@ -253,19 +258,19 @@
     }
 
     /// All attempts in flight.
-    pub fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn in_flight(&self) -> impl Iterator<Item = &TrackedAttempt> {
         self.requests.values().flat_map(Request::in_flight)
     }
 
     /// The attempts in flight at a worker.
-    pub fn in_flight_at(&self, worker: &WorkerId) -> impl Iterator<Item = &Attempt> {
+    pub fn in_flight_at(&self, worker: &WorkerId) -> impl Iterator<Item = &TrackedAttempt> {
         self.in_flight().filter(move |attempt| attempt.worker == *worker)
     }
 
     /// Releases the KV cache that is held for a request, which is queued again.
     pub fn release_cache(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.phase.held_cache().is_some() {
+        if request.phase.cache_hold().is_some() {
             out.push(Action::ReleaseCache { request: id });
         }
         request.phase = RequestPhase::Queued;
@@ -284,7 +289,7 @@
                 }
             }
         }
-        if phase.held_cache().is_some() {
+        if phase.cache_hold().is_some() {
             out.push(Action::ReleaseCache { request: id });
         }
         if request.in_flight().next().is_none() {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,7 +1,10 @@
 //! Whether a request that may have run may be sent again, and where.
+//!
+//! All other retries are decided in `lifecycle::attempt_ended`, which advances the request again, and in
+//! `attempt_plan`, which checks the attempts left and the worker.
 
 use super::context::DecisionContext;
-use super::request::{Attempt, Request};
+use super::request::{Request, TrackedAttempt};
 use super::worker::Worker;
 use crate::interface::{DeduplicationScope, Idempotency, Micros, Outcome, Stage};
 use crate::rules::idempotency::{self, EarlierAttempt};
@@ -9,7 +12,7 @@
 /// Whether a request that may have run may go to this worker again, even if connecting takes all its time.
 pub(super) fn may_retry_at(context: DecisionContext<'_>, request: &Request, worker: &Worker) -> bool {
     let latest_arrival = context.now + context.settings.connect_timeout;
-    retry_before(context, request, worker).is_some_and(|end| latest_arrival < end)
+    retry_deadline(context, request, worker).is_some_and(|end| latest_arrival < end)
 }
 
 /// Whether a request that may have run may go to some worker again.
@@ -17,8 +20,9 @@
     context.membership.iter().any(|(_, worker)| may_retry_at(context, request, worker))
 }
 
-/// Until when a request that may have run may arrive at this worker again; `None`: never.
-pub(super) fn retry_before(
+/// The time before which a request that may have run has to arrive at this worker again; `None`: it may not
+/// be sent there again.
+pub(super) fn retry_deadline(
     context: DecisionContext<'_>,
     request: &Request,
     worker: &Worker,
@@ -31,12 +35,12 @@
         | Idempotency::Idempotent
         | Idempotency::NonIdempotent => true,
     };
-    let may_have_had_effect = |attempt: &&Attempt| {
+    let may_have_had_effect = |attempt: &&TrackedAttempt| {
         attempt.stage == Stage::Decode && !attempt.outcome.is_some_and(Outcome::had_no_effect)
     };
     let earlier = request.attempts().iter().filter(may_have_had_effect).map(|attempt| EarlierAttempt {
         sent: attempt.sent_at,
         same_scope: context.membership.get(&attempt.worker).is_some_and(is_same_scope),
     });
-    idempotency::retry_before(class.idempotency, class.deduplication_window, earlier)
+    idempotency::latest_retry_arrival(class.idempotency, class.deduplication_window, earlier)
 }
--- a/src/rules/idempotency.rs
+++ b/src/rules/idempotency.rs
@@ -11,12 +11,12 @@
     pub same_scope: bool,
 }
 
-/// Before when a repeat has to arrive at a worker, given the earlier attempts that may have had an effect;
-/// [`Micros::MAX`]: at any time, `None`: never.
+/// The time before which a repeat has to arrive at a worker, given the earlier attempts that may have had an
+/// effect; [`Micros::MAX`]: at any time, `None`: never.
 ///
 /// With an idempotency key, the deduplication window of each earlier attempt counts, and one outside the
 /// scope of the worker in question rules a repeat there out.
-pub fn retry_before(
+pub fn latest_retry_arrival(
     idempotency: Idempotency,
     deduplication_window: Micros,
     mut earlier: impl Iterator<Item = EarlierAttempt>,
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -54,8 +54,9 @@
     pub now: Micros,
     /// When the attempt times out.
     pub deadline: Micros,
-    /// The attempt may only begin before this.
-    pub begin_before: Option<Micros>,
+    /// The attempt must be written before this, its first byte and every later part, so that it arrives
+    /// inside its deduplication window; `None`: at any time.
+    pub deduplication_deadline: Option<Micros>,
     /// Whether its worker is in service.
     pub worker_is_ready: bool,
 }
@@ -80,6 +81,8 @@
     pub fn outcome(self) -> Outcome {
         match self {
             WithholdReason::Answered | WithholdReason::ClientDisconnected => Outcome::Cancelled,
+            // Its time was spent before the first byte, which for the most part means on connecting: it counts
+            // against the worker like a connection that is not established in time.
             WithholdReason::TimedOut => Outcome::ConnectFailed,
             WithholdReason::DeduplicationWindowOver | WithholdReason::WorkerNotReady => Outcome::NotSent,
         }
@@ -112,7 +115,7 @@
     if attempt.now >= attempt.deadline {
         return Err(WithholdReason::TimedOut);
     }
-    if attempt.begin_before.is_some_and(|end| attempt.now >= end) {
+    if attempt.deduplication_deadline.is_some_and(|end| attempt.now >= end) {
         return Err(WithholdReason::DeduplicationWindowOver);
     }
     if !attempt.worker_is_ready {
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -67,8 +67,8 @@
     pub stage: Stage,
     /// The attempt's timeout; `None`: the client's deadline.
     pub timeout: Option<Micros>,
-    /// The attempt may only begin before this.
-    pub begin_before: Option<Micros>,
+    /// Its first byte must be written before this, so that it arrives inside its deduplication window.
+    pub deduplication_deadline: Option<Micros>,
 }
 
 /// A stream that is about to be passed on to the client.
@@ -154,7 +154,7 @@
     /// Records a new attempt and returns it for the upstream client. An attempt waits for a release under
     /// way: a release that arrives after it would take what the attempt leaves.
     pub fn start_attempt(&mut self, order: AttemptOrder, now: Micros) -> Attempt {
-        let AttemptOrder { worker, stage, timeout, begin_before } = order;
+        let AttemptOrder { worker, stage, timeout, deduplication_deadline } = order;
         let deadline =
             timeout.map_or(self.deadline, |timeout| self.deadline.min(now.saturating_add(timeout)));
         let index = AttemptIndex(self.attempts.len() as u32);
@@ -186,7 +186,7 @@
             stage,
             forwarded: self.forwarded.clone(),
             deadline,
-            begin_before,
+            deduplication_deadline,
             pending_release: self.release.take(),
             cancelled,
             begun,
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -14,8 +14,8 @@
 impl Driver {
     pub(super) fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, worker, stage, timeout, begin_before } => {
-                self.send(request, AttemptOrder { worker, stage, timeout, begin_before });
+            Action::Send { request, worker, stage, timeout, deduplication_deadline } => {
+                self.send(request, AttemptOrder { worker, stage, timeout, deduplication_deadline });
             }
             Action::Reject { request, retry_after, reason } => self.reject(request, retry_after, reason),
             Action::Fail { request, reason } => self.fail(request, reason),
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -22,8 +22,8 @@
     pub forwarded: Rc<ForwardedRequest>,
     /// When to stop waiting for the first event of the answer.
     pub deadline: Micros,
-    /// The attempt may only begin before this.
-    pub begin_before: Option<Micros>,
+    /// Its first byte must be written before this, so that it arrives inside its deduplication window.
+    pub deduplication_deadline: Option<Micros>,
     /// A release to wait for: one that arrives after this attempt would take the cache that the attempt
     /// leaves.
     pub pending_release: Option<Rc<ReleaseProgress>>,
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -80,7 +80,7 @@
             stage: Stage::Prefill,
             forwarded: Rc::new(forwarded_request(id)),
             deadline: self.now() + 10 * SECOND,
-            begin_before: None,
+            deduplication_deadline: None,
             pending_release: None,
             cancelled,
             begun: Rc::default(),
--- a/tests/attempts/send_conditions.rs
+++ b/tests/attempts/send_conditions.rs
@@ -47,7 +47,7 @@
                 attempt.state = responder.request();
                 responder.reject(None);
             }
-            Meanwhile::DeduplicationWindowEnded => attempt.begin_before = Some(upstream.now()),
+            Meanwhile::DeduplicationWindowEnded => attempt.deduplication_deadline = Some(upstream.now()),
             Meanwhile::WorkerDrains => {
                 let update = format!(
                     r#"{{"seq":2,"hosts":[{{"host":"a","dial":"{}","health":"draining"}}]}}"#,
@@ -80,8 +80,8 @@
     let now = upstream.now();
     match meanwhile {
         Meanwhile::DeadlinePassed => attempt.deadline = now,
-        Meanwhile::DeduplicationWindowEnded => attempt.begin_before = Some(now),
-        _ => attempt.begin_before = Some(now + 1),
+        Meanwhile::DeduplicationWindowEnded => attempt.deduplication_deadline = Some(now),
+        _ => attempt.deduplication_deadline = Some(now + 1),
     }
     assert_eq!(upstream.client.may_begin(&attempt, now), expected);
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -74,20 +74,24 @@
         _ => assert!(send_targets(&after).iter().all(|w| *w == "w2" || *w == "w3")),
     }
     // A retry has to begin inside the window, which counts from the first attempt that may have run.
-    let begin_before = |actions: &[Action]| {
-        actions
-            .iter()
-            .find_map(|a| if let Action::Send { begin_before, .. } = a { Some(*begin_before) } else { None })
+    let deduplication_deadline = |actions: &[Action]| {
+        actions.iter().find_map(|a| {
+            if let Action::Send { deduplication_deadline, .. } = a {
+                Some(*deduplication_deadline)
+            } else {
+                None
+            }
+        })
     };
     let mut rig = Rig::fleet(settings());
     rig.request(1, "cell-keyed");
     let first = rig.end_attempt(1, 0, Outcome::PrefillCompleted);
     let sent = rig.now;
-    assert_eq!(begin_before(&first), Some(None));
+    assert_eq!(deduplication_deadline(&first), Some(None));
     rig.now += SECOND;
     rig.end_attempt(1, 1, Outcome::WorkerError);
     let retried = rig.end_attempt(1, 2, Outcome::PrefillCompleted);
-    assert_eq!(begin_before(&retried), Some(Some(sent + 5 * SECOND)), "{retried:?}");
+    assert_eq!(deduplication_deadline(&retried), Some(Some(sent + 5 * SECOND)), "{retried:?}");
     let mut rig = Rig::fleet(settings());
     rig.receive(RequestSpec {
         request: RequestId(1),
