--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -28,8 +28,8 @@
 pub(super) struct LoadView {
     report: Option<ReceivedReport>,
     health_check_sent_at: Option<Micros>,
-    /// Tokens that wait there according to other routers' gossip, and those presumed from this
-    /// router's own prefills that timed out.
+    /// Tokens that wait there according to other routers' gossip, and those presumed from this router's
+    /// own prefills that timed out.
     presumed_tokens: DecayingSum,
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -72,7 +72,7 @@
 
 /// The rest of the latency objective, with two uses as well. In `admission` it is the most that a prefill may
 /// take with the queue before it; [`ATTEMPT_SHARE`] is left for the first token. In `attempt_plan` it is the
-/// least timeout of a prefill whose load can't be observed, while a retry after it would still be in time.
+/// least timeout of a prefill while load can't be observed, if a retry after it would still be in time.
 const PREFILL_SHARE: f64 = 1.0 - ATTEMPT_SHARE;
 
 /// Backoffs double at most this many times: a worker, or discovery, that recovers is used again soon.
