--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -111,9 +111,9 @@
         tokens / trust
     }
 
-    /// A worker that is warming up and has a slow-start token gets the next prompt that is cached nowhere, if
-    /// it can process it in time: with hundreds of routers no prompt would be sent there by itself before the
-    /// token lapses.
+    /// A worker that is warming up and has a slow-start permit gets the next prompt that is cached nowhere,
+    /// if it can process it in time: with hundreds of routers no prompt would be sent there by itself before
+    /// the permit lapses.
     fn warming_up<'c>(
         &self,
         candidates: &'c [PrefillCandidate<'a>],
