--- a/src/net/upstream/write_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -19,7 +19,7 @@
     state: RequestState,
     client: ClientConnection,
     deadline: Micros,
-    begin_before: Option<Micros>,
+    deduplication_deadline: Option<Micros>,
     worker: WorkerId,
     directory: Rc<Directory>,
 }
@@ -30,7 +30,7 @@
             state: attempt.state.clone(),
             client: attempt.forwarded.client.clone(),
             deadline: attempt.deadline,
-            begin_before: attempt.begin_before,
+            deduplication_deadline: attempt.deduplication_deadline,
             worker: attempt.worker.clone(),
             directory: directory.clone(),
         }
@@ -42,7 +42,7 @@
             client_disconnected: self.client.has_left(),
             now,
             deadline: self.deadline,
-            begin_before: self.begin_before,
+            deduplication_deadline: self.deduplication_deadline,
             worker_is_ready: self.directory.is_ready(&self.worker),
         })
     }
