--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -4,7 +4,7 @@
 use super::withdrawn::WithdrawnWorkers;
 use crate::interface::{Endpoint, Micros, Role, WorkerId, WorkerKind, WorkerStatus};
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet};
+use std::collections::HashMap;
 use std::net::SocketAddr;
 
 /// A worker of the endpoint list, as it was listed last.
@@ -99,21 +99,18 @@
 
     /// Corrects an update of another agent whose list is older than the one that was last applied: workers already known
     /// to be draining or gone are listed as draining, so that an agent that has not heard of it yet brings none back.
-    /// Returns the workers whose status was corrected.
-    pub(super) fn mark_withdrawn_as_draining(&self, update: &mut EndpointUpdate) -> HashSet<WorkerId> {
-        let mut corrected = HashSet::new();
+    pub(super) fn mark_withdrawn_as_draining(&self, update: &mut EndpointUpdate) {
         if update.sequence >= self.sequence.get() {
-            return corrected;
+            return;
         }
         let withdrawn = self.withdrawn.borrow();
         for AddressedEndpoint { endpoint, .. } in &mut update.endpoints {
             let is_withdrawn = withdrawn.contains(&endpoint.worker, endpoint.started_at);
             if endpoint.status == WorkerStatus::Ready && is_withdrawn {
                 endpoint.status = WorkerStatus::Draining;
-                corrected.insert(endpoint.worker.clone());
+                log::info!("discovery: {} is listed as Ready by an older list: draining", endpoint.worker.0);
             }
         }
-        corrected
     }
 
     /// The sequence number of the update that was last applied.
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -11,7 +11,6 @@
 use crate::interface::{Endpoint, UpdateKind, WorkerId};
 use crate::runtime::counters::Counters;
 use crate::runtime::{DriverHandle, DriverInput};
-use std::collections::HashSet;
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,12 +37,7 @@
 impl EndpointWatcher {
     /// Applies an update to the directory, closes the idle connections that it makes useless, and notifies the driver.
     pub fn apply(&self, update: EndpointUpdate, kind: UpdateKind) {
-        self.apply_corrected(update, kind, &HashSet::new());
-    }
-
-    /// Like [`apply`](Self::apply), for an update in which the status of some workers was corrected.
-    fn apply_corrected(&self, update: EndpointUpdate, kind: UpdateKind, corrected: &HashSet<WorkerId>) {
-        log_endpoints(&update, kind, corrected);
+        log_endpoints(&update, kind);
         for worker in self.directory.apply(&update) {
             (self.close_idle_connections)(&worker);
         }
@@ -146,23 +140,21 @@
             log::warn!("discovery: ignoring an update: {reason}");
             return;
         }
-        let corrected = self.directory.mark_withdrawn_as_draining(&mut update);
+        self.directory.mark_withdrawn_as_draining(&mut update);
         let kind = update.kind();
-        self.apply_corrected(update, kind, &corrected);
+        self.apply(update, kind);
     }
 }
 
-/// Logs each worker of an update, with the status that was listed where it was `corrected`. Complete lists are long and
-/// mostly known, so they are logged at a lower level.
-fn log_endpoints(update: &EndpointUpdate, update_kind: UpdateKind, corrected: &HashSet<WorkerId>) {
+/// Logs each worker of an update. Complete lists are long and mostly known, so they are logged at a lower level.
+fn log_endpoints(update: &EndpointUpdate, update_kind: UpdateKind) {
     let level = if update_kind == UpdateKind::Delta { log::Level::Info } else { log::Level::Debug };
     let sequence = update.sequence;
     for listed in &update.endpoints {
         let Endpoint { worker, zone, kind, cell, status, .. } = &listed.endpoint;
-        let listed_as = if corrected.contains(worker) { " (listed as Ready)" } else { "" };
         log::log!(
             level,
-            "discovery: {} ({kind}, {zone}, cell {cell}) is {status:?}{listed_as}, {update_kind:?} {sequence}",
+            "discovery: {} ({kind}, {zone}, cell {cell}) is {status:?}, {update_kind:?} {sequence}",
             worker.0
         );
     }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -70,7 +70,7 @@
                 ProcessSignal::Reload => reloader.reload(),
             },
             _ = maintenance.tick() => {
-                router.evict_expired();
+                router.remove_expired();
                 log.report_dropped_lines();
             }
         }
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -75,7 +75,7 @@
 
         let is_stopping = Rc::new(Cell::new(false));
         let service = Rc::new(parts.service_context(config, is_stopping.clone()));
-        let tools = parts.tool_front(config, &service);
+        let tools = parts.jsonrpc_service(config, &service);
         let handler = RequestService { context: service, jsonrpc: tools.clone() };
         let shutdown = parts.start_server(sockets, socket, handler, is_stopping);
         log::info!(
@@ -89,7 +89,7 @@
 
     /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that
     /// have expired.
-    pub fn evict_expired(&self) {
+    pub fn remove_expired(&self) {
         self.pool.close_expired();
         if let Some(tools) = &self.tools {
             tools.evict_expired();
@@ -172,7 +172,7 @@
         }
     }
 
-    fn tool_front(&self, config: &Config, service: &Rc<ServiceContext>) -> Option<Rc<JsonRpcService>> {
+    fn jsonrpc_service(&self, config: &Config, service: &Rc<ServiceContext>) -> Option<Rc<JsonRpcService>> {
         let settings = config.tools.clone()?;
         Some(JsonRpcService::new(service.clone(), settings, self.connect_timeout, config.seed))
     }
