--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -59,7 +59,7 @@
     /// Requests that wait in its queue.
     pub queued_requests: Option<f64>,
     /// Share of its KV cache memory in use.
-    pub memory_utilization: Option<f64>,
+    pub kv_cache_utilization: Option<f64>,
     /// Prompt tokens that wait to be processed or fetched.
     pub queued_tokens: Option<f64>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -22,7 +22,7 @@
     /// What its workers do.
     pub role: Role,
     /// KV cache memory of one worker, in tokens, where the deployment states it.
-    pub memory_tokens: Option<u64>,
+    pub kv_cache_tokens: Option<u64>,
 }
 
 /// Whether a request may run more than once.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //! use llm_router::Policy;
 //! use llm_router::interface::*;
 //!
-//! let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: Some(200_000) };
+//! let kind = |name: &str, role| WorkerKind { name: name.into(), role, kv_cache_tokens: Some(200_000) };
 //! let settings = Settings {
 //!     replica_count: 1,
 //!     worker_kinds: vec![kind("prefill", Role::Prefill), kind("decode", Role::Decode)],
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -63,7 +63,7 @@
         let projected = match report {
             Some(ReceivedReport {
                 received_at,
-                report: LoadReport { memory_utilization: Some(utilization), .. },
+                report: LoadReport { kv_cache_utilization: Some(utilization), .. },
             }) => {
                 // As the report ages, other routers' attempts have changed the memory in use.
                 let sent_since: f64 =
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -40,9 +40,9 @@
     /// Records a load report. Values that are not finite or below zero count as not reported.
     pub fn record_report(&mut self, now: Micros, report: LoadReport) {
         let valid = |value: Option<f64>| value.filter(|value| value.is_finite() && *value >= 0.0);
-        let memory_utilization = valid(report.memory_utilization);
+        let kv_cache_utilization = valid(report.kv_cache_utilization);
         let queued_tokens = valid(report.queued_tokens);
-        let report = LoadReport { memory_utilization, queued_tokens, ..report };
+        let report = LoadReport { kv_cache_utilization, queued_tokens, ..report };
         self.report = Some(ReceivedReport { received_at: now, report });
     }
 
@@ -88,6 +88,6 @@
 
     /// The reported share of its memory in use.
     pub fn memory_utilization(&self) -> Option<f64> {
-        self.report.and_then(|received| received.report.memory_utilization)
+        self.report.and_then(|received| received.report.kv_cache_utilization)
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -209,7 +209,7 @@
     fn apply_endpoint(&mut self, endpoint: Endpoint, settings: &Settings, now: Micros) -> Option<WorkerId> {
         let kind = settings.worker_kinds.iter().find(|kind| kind.name == endpoint.kind);
         let role = kind.map_or(Role::Unified, |kind| kind.role);
-        let stated_memory = kind.and_then(|kind| kind.memory_tokens);
+        let stated_memory = kind.and_then(|kind| kind.kv_cache_tokens);
         let memory_tokens = stated_memory.map_or(DEFAULT_MEMORY_TOKENS, |tokens| tokens.max(1) as f64);
         let valid_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         let weight = if valid_weight { endpoint.weight } else { 1.0 };
--- a/src/policy/membership_tests.rs
+++ b/src/policy/membership_tests.rs
@@ -23,7 +23,7 @@
 }
 
 fn settings() -> Settings {
-    let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: None };
+    let kind = |name: &str, role| WorkerKind { name: name.into(), role, kv_cache_tokens: None };
     Settings {
         worker_kinds: vec![kind("p", Role::Prefill), kind("d", Role::Decode), kind("u", Role::Unified)],
         slow_start_duration: 50,
--- a/src/wire_format/load_report.rs
+++ b/src/wire_format/load_report.rs
@@ -44,7 +44,7 @@
         let field = match name.trim() {
             "busy_reqs" => &mut report.active_requests,
             "pending" => &mut report.queued_requests,
-            "x0" => &mut report.memory_utilization,
+            "x0" => &mut report.kv_cache_utilization,
             "x1" => &mut report.queued_tokens,
             _ => continue,
         };
--- a/src/wire_format/settings.rs
+++ b/src/wire_format/settings.rs
@@ -81,7 +81,7 @@
         Some(value) => return Err(SettingsError::invalid(ROLES, value)),
     };
     let memory: Option<f64> = values.list_item("family_info.kv_tokens", index)?;
-    Ok(WorkerKind { name: name.to_owned(), role, memory_tokens: memory.map(|tokens| tokens as u64) })
+    Ok(WorkerKind { name: name.to_owned(), role, kv_cache_tokens: memory.map(|tokens| tokens as u64) })
 }
 
 fn read_classes(values: &SettingValues<'_>) -> Result<Vec<Class>, SettingsError> {
--- a/src/wire_format/tests.rs
+++ b/src/wire_format/tests.rs
@@ -20,7 +20,7 @@
     let wanted = LoadReport {
         active_requests: Some(3.0),
         queued_requests: Some(2.0),
-        memory_utilization: Some(0.5),
+        kv_cache_utilization: Some(0.5),
         queued_tokens: Some(1500.0),
     };
     assert_eq!(report, wanted);
--- a/tests/policy_robustness.rs
+++ b/tests/policy_robustness.rs
@@ -31,7 +31,7 @@
         request_finished: false,
         cached_tokens: u64::MAX,
         report: Some(LoadReport {
-            memory_utilization: Some(f64::NAN),
+            kv_cache_utilization: Some(f64::NAN),
             queued_tokens: Some(-1.0),
             ..LoadReport::default()
         }),
@@ -89,7 +89,7 @@
                     ..request_spec(rig.now, "idempotent")
                 });
                 let report = Some(LoadReport {
-                    memory_utilization: Some(f64::NAN),
+                    kv_cache_utilization: Some(f64::NAN),
                     queued_tokens: Some(if id % 3 == 0 { -1.0 } else { 1e300 }),
                     ..LoadReport::default()
                 });
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -29,7 +29,7 @@
 }
 
 pub fn settings() -> Settings {
-    let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: None };
+    let kind = |name: &str, role| WorkerKind { name: name.into(), role, kv_cache_tokens: None };
     Settings {
         replica_count: 1,
         worker_kinds: vec![kind("prefill", Role::Prefill), kind("decode", Role::Decode)],
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -27,7 +27,7 @@
 
 /// Settings with three classes: idempotent, not idempotent, and keyed within a cell.
 pub fn settings() -> Settings {
-    let kind = |name: &str, role| WorkerKind { name: name.into(), role, memory_tokens: Some(150_000) };
+    let kind = |name: &str, role| WorkerKind { name: name.into(), role, kv_cache_tokens: Some(150_000) };
     Settings {
         replica_count: 2,
         zone: "z".into(),
