--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -6,7 +6,7 @@
 use crate::net::server::framing::{Framing, HeadFraming};
 use crate::net::server::read_gate::ReadGate;
 use crate::net::server::socket_probe;
-use crate::rules::close::{ConnectionFacts, ConnectionPhase, Eviction};
+use crate::rules::close::{ConnectionPhase, ConnectionSnapshot, Eviction};
 use crate::runtime::exchange::ClientConnection;
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -99,8 +99,8 @@
     }
 
     /// The state of the connection now, as the rules on closing it take it.
-    pub fn facts(&self, is_closing_phase: bool) -> ConnectionFacts {
-        ConnectionFacts {
+    pub fn facts(&self, is_closing_phase: bool) -> ConnectionSnapshot {
+        ConnectionSnapshot {
             phase: self.phase.get(),
             accepted: self.accepted,
             has_answered: self.has_answered.get(),
--- a/src/net/upstream/write_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -9,7 +9,7 @@
 use crate::net::discovery::Directory;
 use crate::net::upstream::client::UpstreamClient;
 use crate::net::upstream::write_progress::WriteGuard;
-use crate::rules::send::{AttemptFacts, WithholdReason, check_write};
+use crate::rules::send::{AttemptSnapshot, WithholdReason, check_write};
 use crate::runtime::Attempt;
 use crate::runtime::exchange::{ClientConnection, RequestState};
 use std::rc::Rc;
@@ -37,7 +37,7 @@
     }
 
     fn check(&self, now: Micros) -> Result<(), WithholdReason> {
-        check_write(&AttemptFacts {
+        check_write(&AttemptSnapshot {
             is_open: self.state.is_open(),
             client_disconnected: self.client.has_left(),
             now,
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -53,7 +53,7 @@
 
 /// A connection at the moment in which its close is decided on.
 #[derive(Clone, Copy, Debug)]
-pub struct ConnectionFacts {
+pub struct ConnectionSnapshot {
     /// What it is doing.
     pub phase: ConnectionPhase,
     /// When it was accepted.
@@ -116,8 +116,8 @@
 
 /// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it,
 /// and while it is being closed already.
-pub fn close_due(connection: &ConnectionFacts) -> Option<(Instant, CloseReason)> {
-    let ConnectionFacts { accepted, has_answered, is_closing_phase, .. } = *connection;
+pub fn close_due(connection: &ConnectionSnapshot) -> Option<(Instant, CloseReason)> {
+    let ConnectionSnapshot { accepted, has_answered, is_closing_phase, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
     let overdue =
         if connection.is_write_blocked { CloseReason::WriteTimeout } else { CloseReason::RequestTimeout };
@@ -144,7 +144,7 @@
 /// Whether a connection is between two requests with its last answer written out. The closing phase of a
 /// graceful shutdown closes it at once: a request that arrived while a timer runs out would have to be
 /// accepted.
-pub fn is_idle_between_requests(connection: &ConnectionFacts) -> bool {
+pub fn is_idle_between_requests(connection: &ConnectionSnapshot) -> bool {
     matches!(connection.phase, ConnectionPhase::Idle(_))
         && connection.has_answered
         && !connection.is_write_blocked
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -6,7 +6,7 @@
 
 /// A request at the moment in which an attempt is decided on.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestFacts {
+pub struct RequestSnapshot {
     /// Whether it has its final answer.
     pub is_answered: bool,
     /// How many attempts there have been.
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// The invariant that the attempt would break.
-pub fn check_attempt(request: &RequestFacts) -> Result<(), Invariant> {
+pub fn check_attempt(request: &RequestSnapshot) -> Result<(), Invariant> {
     if request.is_answered {
         return Err(Invariant::NoAttemptAfterResponse);
     }
@@ -45,7 +45,7 @@
 
 /// An attempt at the moment in which bytes of it are about to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptFacts {
+pub struct AttemptSnapshot {
     /// Whether its request still waits for its final answer.
     pub is_open: bool,
     /// Whether its client has disconnected.
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 /// Why not.
-pub fn check_write(attempt: &AttemptFacts) -> Result<(), WithholdReason> {
+pub fn check_write(attempt: &AttemptSnapshot) -> Result<(), WithholdReason> {
     if !attempt.is_open {
         return Err(WithholdReason::Answered);
     }
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -5,7 +5,7 @@
 use super::outbound::{Attempt, ReleaseProgress};
 use crate::interface::{AttemptIndex, Idempotency, Micros, Outcome, RequestId, Settings, Stage, WorkerId};
 use crate::rules::idempotency::is_rejection_harmless;
-use crate::rules::send::RequestFacts;
+use crate::rules::send::RequestSnapshot;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -144,8 +144,8 @@
     }
 
     /// The facts on which another attempt is decided.
-    pub fn facts(&self, settings: &Settings) -> RequestFacts {
-        RequestFacts {
+    pub fn facts(&self, settings: &Settings) -> RequestSnapshot {
+        RequestSnapshot {
             is_answered: self.is_answered(),
             attempts: self.attempts.len(),
             max_attempts: settings.max_attempts as usize,
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -6,7 +6,7 @@
 use llm_router::net::server::client_socket::ClientSocket;
 use llm_router::net::server::gated_socket::GatedSocket;
 use llm_router::net::server::shutdown_phase::ShutdownPhase;
-use llm_router::rules::close::{CloseReason, ConnectionFacts, ConnectionPhase, Eviction, close_due};
+use llm_router::rules::close::{CloseReason, ConnectionPhase, ConnectionSnapshot, Eviction, close_due};
 use rstest::rstest;
 use std::future::poll_fn;
 use std::io::{Read, Write};
@@ -255,7 +255,7 @@
     #[case] reason: CloseReason,
 ) {
     let now = Instant::now();
-    let facts = ConnectionFacts {
+    let facts = ConnectionSnapshot {
         phase: ConnectionPhase::Idle(now),
         accepted: now,
         has_answered,
