--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -10,7 +10,9 @@
 use crate::net::server::handler::RequestHandler;
 use crate::net::server::lingering_close::close_lingering;
 use crate::net::server::shutdown_phase::ShutdownPhase;
-use crate::rules::close::{CloseReason, ConnectionPhase, close_due, is_idle_between_requests, may_close};
+use crate::rules::close::{
+    CloseReason, ConnectionPhase, close_deadline, is_idle_between_requests, may_close,
+};
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::future::poll_fn;
@@ -71,7 +73,7 @@
         if is_closing && is_idle_between_requests(&facts) && !client.has_unread_bytes() {
             return CloseReason::Shutdown;
         }
-        let wake_at = recheck_at.take().or_else(|| close_due(&facts).map(|(at, _)| at));
+        let wake_at = recheck_at.take().or_else(|| close_deadline(&facts).map(|(at, _)| at));
         tokio::select! {
             // hyper first: requests that have been received by now are read before any deadline is considered. The
             // deadline last: it decides on what all the others have changed.
@@ -86,7 +88,7 @@
             () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => return CloseReason::ClientDisconnected,
             () = sleep_until(wake_at) => {
                 // Polling hyper may have changed what is due.
-                let due = close_due(&client.facts(is_closing));
+                let due = close_deadline(&client.facts(is_closing));
                 let Some((_, reason)) = due.filter(|(at, _)| *at <= Instant::now()) else { continue };
                 if reason == CloseReason::WriteTimeout || may_close(client.phase(), client.has_unread_bytes()) {
                     return reason;
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -116,7 +116,7 @@
 
 /// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it,
 /// and while it is being closed already.
-pub fn close_due(connection: &ConnectionSnapshot) -> Option<(Instant, CloseReason)> {
+pub fn close_deadline(connection: &ConnectionSnapshot) -> Option<(Instant, CloseReason)> {
     let ConnectionSnapshot { accepted, has_answered, is_closing_phase, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
     let overdue =
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -6,7 +6,7 @@
 use llm_router::net::server::client_socket::ClientSocket;
 use llm_router::net::server::gated_socket::GatedSocket;
 use llm_router::net::server::shutdown_phase::ShutdownPhase;
-use llm_router::rules::close::{CloseReason, ConnectionPhase, ConnectionSnapshot, Eviction, close_due};
+use llm_router::rules::close::{CloseReason, ConnectionPhase, ConnectionSnapshot, Eviction, close_deadline};
 use rstest::rstest;
 use std::future::poll_fn;
 use std::io::{Read, Write};
@@ -263,7 +263,7 @@
         eviction: Eviction::None,
         is_closing_phase: false,
     };
-    assert_eq!(close_due(&facts), Some((now + timeout, reason)));
+    assert_eq!(close_deadline(&facts), Some((now + timeout, reason)));
 }
 
 /// What a client does before its connection ends.
