--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -102,7 +102,7 @@
     pub fn facts(&self, is_closing_phase: bool) -> ConnectionSnapshot {
         ConnectionSnapshot {
             phase: self.phase.get(),
-            accepted: self.accepted,
+            accepted_at: self.accepted,
             has_answered: self.has_answered.get(),
             is_write_blocked: self.is_write_blocked.get(),
             eviction: self.eviction.get(),
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -39,7 +39,7 @@
         attempt.stage == Stage::Decode && !attempt.outcome.is_some_and(Outcome::had_no_effect)
     };
     let earlier = request.attempts().iter().filter(may_have_had_effect).map(|attempt| EarlierAttempt {
-        sent: attempt.sent_at,
+        sent_at: attempt.sent_at,
         same_scope: context.membership.get(&attempt.worker).is_some_and(is_same_scope),
     });
     idempotency::latest_retry_arrival(class.idempotency, class.deduplication_window, earlier)
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -57,7 +57,7 @@
     /// What it is doing.
     pub phase: ConnectionPhase,
     /// When it was accepted.
-    pub accepted: Instant,
+    pub accepted_at: Instant,
     /// Whether a request was ever answered on it.
     pub has_answered: bool,
     /// Whether there are bytes to write that the client does not read.
@@ -117,7 +117,7 @@
 /// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it,
 /// and while it is being closed already.
 pub fn close_deadline(connection: &ConnectionSnapshot) -> Option<(Instant, CloseReason)> {
-    let ConnectionSnapshot { accepted, has_answered, is_closing_phase, .. } = *connection;
+    let ConnectionSnapshot { accepted_at, has_answered, is_closing_phase, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
     let overdue =
         if connection.is_write_blocked { CloseReason::WriteTimeout } else { CloseReason::RequestTimeout };
@@ -126,17 +126,19 @@
         ConnectionPhase::Idle(since) if connection.is_write_blocked => {
             Some((since + CLIENT_WRITE_TIMEOUT, CloseReason::WriteTimeout))
         }
-        ConnectionPhase::Idle(_) if is_evicted => Some((accepted, CloseReason::Evicted)),
+        ConnectionPhase::Idle(_) if is_evicted => Some((accepted_at, CloseReason::Evicted)),
         ConnectionPhase::Idle(since) if is_closing_phase && has_answered => {
             Some((since, CloseReason::Shutdown))
         }
         ConnectionPhase::Idle(since) if has_answered => Some((since + IDLE_TIMEOUT, CloseReason::Idle)),
         ConnectionPhase::Idle(_) if is_closing_phase => {
-            Some((accepted + SILENT_TIMEOUT_AT_SHUTDOWN, CloseReason::Shutdown))
+            Some((accepted_at + SILENT_TIMEOUT_AT_SHUTDOWN, CloseReason::Shutdown))
         }
         ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Silent)),
-        ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted, overdue)),
-        ConnectionPhase::ReceivingRequest(_) if !has_answered => Some((accepted + REQUEST_TIMEOUT, overdue)),
+        ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted_at, overdue)),
+        ConnectionPhase::ReceivingRequest(_) if !has_answered => {
+            Some((accepted_at + REQUEST_TIMEOUT, overdue))
+        }
         ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue)),
     }
 }
--- a/src/rules/idempotency.rs
+++ b/src/rules/idempotency.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
     /// When it was sent.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// Whether its worker and the one in question are in one deduplication scope.
     pub same_scope: bool,
 }
@@ -25,8 +25,9 @@
         Idempotency::Idempotent => Some(Micros::MAX),
         Idempotency::NonIdempotent => earlier.next().is_none().then_some(Micros::MAX),
         Idempotency::Keyed(_) => {
-            let window_ends = earlier
-                .map(|attempt| attempt.same_scope.then(|| attempt.sent.saturating_add(deduplication_window)));
+            let window_ends = earlier.map(|attempt| {
+                attempt.same_scope.then(|| attempt.sent_at.saturating_add(deduplication_window))
+            });
             // `None` is less than any time: one attempt outside the scope decides.
             window_ends.min().unwrap_or(Some(Micros::MAX))
         }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -257,7 +257,7 @@
     let now = Instant::now();
     let facts = ConnectionSnapshot {
         phase: ConnectionPhase::Idle(now),
-        accepted: now,
+        accepted_at: now,
         has_answered,
         is_write_blocked: false,
         eviction: Eviction::None,
