--- a/src/net/upstream/write_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -38,7 +38,7 @@
 
     fn check(&self, now: Micros) -> Result<(), WithholdReason> {
         check_write(&AttemptSnapshot {
-            is_open: self.state.is_open(),
+            is_request_open: self.state.is_open(),
             client_disconnected: self.client.has_left(),
             now,
             deadline: self.deadline,
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptSnapshot {
     /// Whether its request still waits for its final answer.
-    pub is_open: bool,
+    pub is_request_open: bool,
     /// Whether its client has disconnected.
     pub client_disconnected: bool,
     /// The present time.
@@ -71,7 +71,7 @@
     /// It has timed out.
     TimedOut,
     /// Workers would not recognize it as a repeat any more.
-    DeduplicationWindowOver,
+    DeduplicationWindowExpired,
     /// Its worker is draining or removed.
     WorkerNotReady,
 }
@@ -84,7 +84,7 @@
             // Its time was spent before the first byte, which for the most part means on connecting: it counts
             // against the worker like a connection that is not established in time.
             WithholdReason::TimedOut => Outcome::ConnectFailed,
-            WithholdReason::DeduplicationWindowOver | WithholdReason::WorkerNotReady => Outcome::NotSent,
+            WithholdReason::DeduplicationWindowExpired | WithholdReason::WorkerNotReady => Outcome::NotSent,
         }
     }
 }
@@ -95,7 +95,7 @@
             WithholdReason::Answered => "its request has been answered",
             WithholdReason::ClientDisconnected => "its client has disconnected",
             WithholdReason::TimedOut => "it has timed out",
-            WithholdReason::DeduplicationWindowOver => "the deduplication window is over",
+            WithholdReason::DeduplicationWindowExpired => "the deduplication window is over",
             WithholdReason::WorkerNotReady => "its worker is draining or removed",
         })
     }
@@ -106,7 +106,7 @@
 /// # Errors
 /// Why not.
 pub fn check_write(attempt: &AttemptSnapshot) -> Result<(), WithholdReason> {
-    if !attempt.is_open {
+    if !attempt.is_request_open {
         return Err(WithholdReason::Answered);
     }
     if attempt.client_disconnected {
@@ -116,7 +116,7 @@
         return Err(WithholdReason::TimedOut);
     }
     if attempt.deduplication_deadline.is_some_and(|end| attempt.now >= end) {
-        return Err(WithholdReason::DeduplicationWindowOver);
+        return Err(WithholdReason::DeduplicationWindowExpired);
     }
     if !attempt.worker_is_ready {
         return Err(WithholdReason::WorkerNotReady);
