--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -60,7 +60,7 @@
     }
 
     /// The fields in which another configuration differs and that take effect at a start only.
-    pub fn differences(&self, other: &Config) -> Vec<&'static str> {
+    pub fn changes_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let settings_differ =
             self.settings != other.settings || self.idle_connection_timeout != other.idle_connection_timeout;
         let fields = [
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -87,12 +87,12 @@
 }
 
 #[test]
-fn differences_name_the_fields_that_count_at_a_start_only() {
+fn changes_that_require_a_restart_are_listed_by_field() {
     let config = from_json(&minimal()).unwrap();
     let mut value = minimal();
     value["discovery"] = json!("127.0.0.1:4");
-    assert!(config.differences(&from_json(&value).unwrap()).is_empty());
+    assert!(config.changes_requiring_restart(&from_json(&value).unwrap()).is_empty());
     value["settings"]["permissions"]["idle_close_us"] = json!(1_000_000);
     value["name"] = json!("other");
-    assert_eq!(config.differences(&from_json(&value).unwrap()), ["name", "settings"]);
+    assert_eq!(config.changes_requiring_restart(&from_json(&value).unwrap()), ["name", "settings"]);
 }
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -45,7 +45,7 @@
 
     fn apply(&mut self, loaded: &Config) {
         self.counters.reloads.increment();
-        let not_applied = self.config.differences(loaded);
+        let not_applied = self.config.changes_requiring_restart(loaded);
         if !not_applied.is_empty() {
             log::warn!("reload: changes of {} take effect at the next start", not_applied.join(", "));
         }
