--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -29,7 +29,7 @@
     /// The machine's limits.
     pub limits: Limits,
     /// The endpoint list as the writer of the configuration last had it; it may be stale.
-    pub known: EndpointUpdate,
+    pub initial_endpoints: EndpointUpdate,
     /// The policy's settings.
     pub settings: Settings,
     /// When workers close idle connections.
--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -39,7 +39,7 @@
             discovery,
             seed,
             limits: self.limits,
-            known: self.known.map(EndpointUpdate::from).unwrap_or_default(),
+            initial_endpoints: self.known.map(EndpointUpdate::from).unwrap_or_default(),
             settings,
             idle_connection_timeout: idle_connection_timeout(&pairs),
             tools: self.tools,
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -72,7 +72,7 @@
         let upstream = Rc::new(parts.upstream_client(config));
         let driver = Driver::new(config.settings.clone(), config.seed, clock, upstream, counters.clone());
         let watcher = parts.endpoint_watcher(config);
-        watcher.apply(std::mem::take(&mut config.known), UpdateKind::Restored);
+        watcher.apply(std::mem::take(&mut config.initial_endpoints), UpdateKind::Restored);
         spawn_local(driver.run(inputs));
         let (discovery, discovery_address) = watch::channel(config.discovery);
         spawn_local(watcher.run(discovery_address));
