--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -29,7 +29,7 @@
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
     /// A decode worker has answered a reservation. The present policy reserves nothing and ignores it.
-    SlotReserved {
+    SlotReservationAnswered {
         /// The request.
         request: RequestId,
         /// The worker asked.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -130,7 +130,7 @@
             Event::HealthChecked { worker, report, .. } => self.record_load_report(&worker, report),
             Event::GossipReceived { payload, .. } => self.apply_gossip(&payload),
             // Slots are never reserved ahead: the decode worker is chosen after the prefill.
-            Event::Timer(_) | Event::SlotReserved { .. } => {}
+            Event::Timer(_) | Event::SlotReservationAnswered { .. } => {}
         }
         if may_free_capacity {
             self.advance_all(AdvanceScope::Waiting, out);
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -32,7 +32,7 @@
             }
             DriverInput::SlotReserved { request, worker, reserved } => {
                 if self.requests.contains(request) {
-                    self.notify_policy(Event::SlotReserved { request, worker, reserved });
+                    self.notify_policy(Event::SlotReservationAnswered { request, worker, reserved });
                 }
             }
             DriverInput::HealthChecked { worker, outcome, report } => {
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -79,7 +79,7 @@
     fields.text("hop")?;
     let worker = fields.worker()?;
     let reserved = fields.required::<u8>("kind")? == 1;
-    Ok(Event::SlotReserved { request, worker, reserved })
+    Ok(Event::SlotReservationAnswered { request, worker, reserved })
 }
 
 fn parse_attempt_ended(fields: &mut Fields<'_>) -> Result<AttemptEnd, LineError> {
