--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,91 +1,92 @@
-//! Actions: what the policy wants done.
+//! Actions: the output of the policy.
 
 use super::{AttemptIndex, Micros, RequestId, Stage, TimerId, WorkerId};
 
-/// Why a request ends without a worker's answer.
+/// Why a request ends without a worker's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its deadline is too close for anything to begin.
+    /// Too little time is left before its deadline to start an attempt.
     DeadlineTooClose,
-    /// Its deadline has passed with an attempt in flight.
+    /// Its deadline passed with an attempt in flight.
     DeadlineExceeded,
-    /// It has had all the attempts that it may have.
+    /// All attempts that the settings allow have been made.
     AttemptsExhausted,
-    /// It may have run, and no worker may be sent it again.
+    /// It may have run, and no worker may be sent a retry.
     NotRetryable,
-    /// Decode workers timed out on it, and it is past its latency objective.
+    /// Decode workers timed out on it, and its latency objective has passed.
     DecodeUnresponsive,
-    /// By what its stages take, its answer cannot begin before its client gives up.
+    /// By the estimated duration of its stages, the response cannot start before the client's deadline.
     CannotStartInTime,
-    /// By what its stages take, it cannot meet its latency objective any more.
+    /// By the estimated duration of its stages, it can no longer meet its latency objective.
     ObjectiveUnreachable,
     /// Its tenant has used up its quota, and there is no capacity left.
     OverQuota,
 }
 
-/// Something to do.
+/// An instruction of the policy to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a worker.
+    /// Send an attempt of the request to a worker.
     Send {
         /// The request.
         request: RequestId,
-        /// The worker.
+        /// The destination.
         worker: WorkerId,
-        /// What the worker is to do.
+        /// The stage that the worker executes.
         stage: Stage,
-        /// The attempt's timeout; `None`: the client's deadline.
+        /// The attempt's timeout, from the time it is sent; `None`: the client's deadline applies.
         timeout: Option<Micros>,
-        /// Its first byte must be written before this, so that it arrives inside its deduplication window.
-        /// `None`: at any time.
+        /// No byte of the attempt may be written from this time on, so that it arrives inside the
+        /// deduplication window of the earlier attempts; `None`: no limit.
         deduplication_deadline: Option<Micros>,
     },
-    /// Reject the request: retrying is harmless.
+    /// Reject the request: the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should retry.
+        /// How long the client should wait before it retries; `None`: not stated.
         retry_after: Option<Micros>,
-        /// Why.
+        /// The cause, for the log.
         reason: EndReason,
     },
-    /// Fail the request: no promise about its effect.
+    /// Fail the request: it may or may not have had an effect.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The cause, for the log.
         reason: EndReason,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     CancelAttempt {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
     },
-    /// Reserve a slot at a decode worker while a prefill is in flight. The present policy never does: it
-    /// chooses the decode worker after the prefill.
+    /// Reserve a slot at a decode worker while a prefill is in flight. Never issued by the current policy,
+    /// which chooses the decode worker after the prefill.
     ReserveSlot {
         /// The request.
         request: RequestId,
         /// The decode worker.
         worker: WorkerId,
     },
-    /// Release every KV cache and slot held for the request.
+    /// Release all KV caches and slots that workers hold for the request.
     ReleaseCache {
         /// The request.
         request: RequestId,
     },
-    /// End a running stream so that its client resumes it elsewhere. The present policy never does.
+    /// End a stream in progress so that the client resumes it at another worker. Never issued by the current
+    /// policy.
     MigrateStream {
         /// The request.
         request: RequestId,
     },
-    /// Hand a timer back at that moment.
+    /// Set a timer, which fires as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// When.
+        /// The time at which it fires.
         at: Micros,
-        /// Which.
+        /// The timer.
         timer: TimerId,
     },
     /// Check a worker's health.
@@ -93,22 +94,22 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Close idle connections to a worker. The present policy never does.
+    /// Close idle connections to a worker. Never issued by the current policy.
     CloseIdleConnections {
         /// The worker.
         worker: WorkerId,
     },
-    /// Send a message to one router, or to all.
+    /// Send a gossip message to another router, or to all others.
     Gossip {
-        /// The receiver's replica index; `None`: all.
+        /// The receiver's replica index; `None`: all other routers.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// The encoded message, 256 bytes at most.
         payload: Vec<u8>,
     },
-    /// Watch discovery for updates of the endpoint list.
+    /// Open a watch at discovery for updates of the endpoint list.
     WatchEndpoints,
-    /// Poll discovery once for the complete list. The present policy never does.
+    /// Poll discovery once for the complete endpoint list. Never issued by the current policy.
     PollEndpoints,
-    /// A line for the operators' log. The present policy writes none.
+    /// Write a line to the log. Never issued by the current policy.
     Log(String),
 }
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -1,26 +1,26 @@
-//! Attempts of requests at workers: their stage, their end, and the load that workers report with it.
+//! Attempts at workers: stage, outcome, and the load reports that come with the outcome.
 
 use super::{Micros, RequestId};
 
-/// The index of an attempt within its request, counted from 0 in the order of sending.
+/// The index of an attempt within its request, from 0 in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptIndex(pub u32);
 
-/// What an attempt asks of its worker.
+/// The part of a request that an attempt executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// To process the prompt only, and to keep the KV cache for a decode worker.
+    /// Process the prompt and keep the KV cache for a decode worker to fetch.
     Prefill,
-    /// To stream the answer: from a KV cache that waits at a prefill worker, else after its own prefill.
+    /// Stream the response: from a KV cache held at a prefill worker, else after a prefill of its own.
     Decode,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer reached the client.
+    /// The response reached the client.
     Completed,
-    /// The prompt was processed; its KV cache waits at the prefill worker.
+    /// The prompt was processed; the prefill worker holds the KV cache.
     PrefillCompleted,
     /// The worker returned an error; the request may have run.
     WorkerError,
@@ -28,39 +28,39 @@
     Rejected,
     /// There was no KV cache to fetch; the request did not run.
     CacheMissing,
-    /// No response in time; the request may have run.
+    /// The worker did not respond in time; the request may have run.
     TimedOut,
-    /// Not delivered in full, so that the request did not run: the connection could not be established, it
-    /// broke or writing was stopped before the request's last byte, or time ran out before it. Counts against
-    /// the worker.
+    /// The request was not delivered in full, so it did not run: the connection could not be established, or
+    /// before the request's last byte it broke, the router stopped writing, or the attempt timed out. Counts
+    /// as a failure of the worker.
     ConnectFailed,
     /// The connection broke; the request may have run.
     ConnectionLost,
     /// Cancelled by the router; the request may have run.
     Cancelled,
-    /// Withheld by the router before the first byte, or this machine could not send it: the request did not
-    /// run. Does not count against the worker.
+    /// The router withheld the attempt before its first byte, or a local fault prevented it; the request did
+    /// not run. Does not count as a failure of the worker.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt had no effect.
+    /// Whether this outcome guarantees that the attempt had no effect.
     pub fn had_no_effect(self) -> bool {
         use Outcome::*;
         matches!(self, PrefillCompleted | Rejected | CacheMissing | ConnectFailed | NotSent)
     }
 }
 
-/// A worker's report of its load; values that it does not report are `None`.
+/// The load of a worker as reported by the worker; `None` for values that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight there, waiting KV caches included.
+    /// Requests in flight, held KV caches included.
     pub active_requests: Option<f64>,
-    /// Requests that wait in its queue.
+    /// Requests in its queue.
     pub queued_requests: Option<f64>,
-    /// Share of its KV cache memory in use.
+    /// Fraction of its KV cache memory in use.
     pub kv_cache_utilization: Option<f64>,
-    /// Prompt tokens that wait to be processed or fetched.
+    /// Prompt tokens in its queue, to be processed or fetched.
     pub queued_tokens: Option<f64>,
 }
 
@@ -71,14 +71,15 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptIndex,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// The time from sending to the end.
     pub elapsed: Micros,
-    /// Whether the request has its final answer.
+    /// Whether the request has received its final response.
     pub request_finished: bool,
-    /// Prompt tokens that the worker found in its cache, with [`Outcome::PrefillCompleted`] and [`Outcome::Completed`].
+    /// Prompt tokens found in the worker's prefix cache, for [`Outcome::PrefillCompleted`] and
+    /// [`Outcome::Completed`].
     pub cached_tokens: u64,
-    /// The worker's load, if reported.
+    /// The load reported by the worker with the outcome.
     pub report: Option<LoadReport>,
 }
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -1,52 +1,52 @@
-//! Workers as the discovery agent lists them.
+//! Workers as listed by service discovery.
 
 use super::Micros;
 use std::sync::Arc;
 
-/// A worker's name, the same at every router and across restarts of its process.
+/// The name of a worker, the same at all routers and across restarts of the worker's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub Arc<str>);
 
-/// Whether a worker may be sent requests.
+/// The lifecycle status of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// In service.
+    /// In service; accepts requests.
     Ready,
-    /// Completes the requests that it has and takes no new ones.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// Removed from the list.
+    /// Removed from the endpoint list.
     #[default]
     Gone,
 }
 
-/// One worker of an endpoint list.
+/// An entry of the endpoint list: one worker.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The worker.
+    /// The name of the worker.
     pub worker: WorkerId,
-    /// Its zone.
+    /// The availability zone that it runs in.
     pub zone: String,
-    /// Its kind, a name of [`Settings::worker_kinds`](super::Settings::worker_kinds).
+    /// The name of its kind, one of [`Settings::worker_kinds`](super::Settings::worker_kinds).
     pub kind: String,
-    /// Its cell: workers of one cell move KV caches fastest among each other.
+    /// Its cell: KV caches are transferred fastest between workers of the same cell.
     pub cell: u64,
-    /// Whether it may be sent requests.
+    /// Its lifecycle status.
     pub status: WorkerStatus,
-    /// Its capacity relative to others of its role.
+    /// Its capacity relative to other workers of the same role.
     pub weight: f64,
-    /// When its process last started; `None`: long ago.
+    /// When its process last started; `None`: long ago, so that it needs no slow start.
     pub started_at: Option<Micros>,
 }
 
-/// What an update of the endpoint list contains.
+/// The kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Changed endpoints only.
+    /// The changed endpoints only.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as an earlier process of this router last had it; it may be stale.
+    /// The complete list as last saved before this process started; it may be stale.
     Restored,
-    /// A poll or the watch failed; the present list stays in force.
+    /// A poll or the watch failed; the current list stays in force.
     Unavailable,
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,63 +1,63 @@
-//! Events: what the policy is told.
+//! Events: the input of the policy.
 
 use super::{
     AttemptEnd, AttemptIndex, Endpoint, LoadReport, Micros, Outcome, RequestId, RequestSpec, TimerId,
     UpdateKind, WorkerId,
 };
 
-/// Something that happened.
+/// An input of the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list was updated, or could not be.
+    /// An update of the endpoint list, or the failure to get one.
     EndpointsUpdated {
-        /// What the update contains.
+        /// The kind of update.
         kind: UpdateKind,
-        /// Its endpoints.
+        /// The endpoints in the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request was received.
+    /// A request was received from a client.
     RequestReceived(RequestSpec),
-    /// An answer has begun to stream.
+    /// A worker started to stream the response.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: Micros,
     },
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A decode worker has answered a reservation. The present policy reserves nothing and ignores it.
+    /// A decode worker answered a reservation. Ignored by the current policy, which never reserves slots.
     SlotReservationAnswered {
         /// The request.
         request: RequestId,
-        /// The worker asked.
+        /// The decode worker.
         worker: WorkerId,
         /// Whether the slot is reserved.
         reserved: bool,
     },
-    /// The client has disconnected.
+    /// The client disconnected.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A timer has fired.
+    /// A timer fired.
     Timer(TimerId),
-    /// The result of a health check.
+    /// A health check ended.
     HealthChecked {
         /// The worker.
         worker: WorkerId,
-        /// [`Outcome::Completed`], or what went wrong.
+        /// [`Outcome::Completed`] if the worker is healthy, else the kind of failure.
         outcome: Outcome,
-        /// The worker's load, if reported.
+        /// The load reported by the worker.
         report: Option<LoadReport>,
     },
-    /// A message of another router.
+    /// A gossip message from another router.
     GossipReceived {
         /// The sender's replica index.
         from: u32,
-        /// Its bytes.
+        /// The encoded message.
         payload: Vec<u8>,
     },
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! What goes into the policy and what comes out: settings, events and actions.
+//! The interface of the policy: settings and events as input, actions as output.
 //!
-//! Everything here is plain data in the terms of the domain, shared by the policy, the driver, the network code and the
-//! simulator's adapter. Times are microseconds on the caller's clock.
+//! These are plain data types, shared by the policy, the driver, the network code and the simulator's
+//! adapter. Times are in microseconds on the caller's clock.
 
 mod action;
 mod attempt;
@@ -19,9 +19,9 @@
     Class, DeduplicationScope, Idempotency, LoadReporting, Role, Settings, Tenant, WorkerKind,
 };
 
-/// Microseconds: a moment on the caller's monotonic clock, or a length of time.
+/// Microseconds: a point in time on the caller's monotonic clock, or a duration.
 pub type Micros = u64;
 
-/// Names a timer that the policy has set; handed back when the timer fires.
+/// The identifier of a timer, chosen by the policy in [`Action::SetTimer`] and returned in [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -1,33 +1,33 @@
-//! Requests of clients.
+//! Client requests.
 
 use super::Micros;
 use std::sync::Arc;
 
-/// A request's number; a client's retry carries a new one.
+/// The number of a request. A retry by the client is a new request with a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// What the policy is told of a request.
+/// The properties of a request that the policy decides on.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// Its number.
+    /// The number of the request.
     pub request: RequestId,
-    /// When the client gives up on it.
+    /// The time at which the client stops waiting for the response.
     pub deadline: Micros,
-    /// The session that it belongs to.
+    /// The session that the request belongs to.
     pub session: Option<Arc<str>>,
-    /// The shared prefix with which its prompt begins.
+    /// The identifier of the shared prefix that the prompt starts with.
     pub prefix: Option<Arc<str>>,
-    /// Prompt tokens that belong to the shared prefix.
+    /// The length of the shared prefix, in tokens.
     pub prefix_tokens: u64,
-    /// Prompt tokens in all.
+    /// The length of the whole prompt, in tokens.
     pub prompt_tokens: u64,
-    /// The most tokens that the answer may have; 0 when unstated.
+    /// The maximum length of the response, in tokens; 0 if unspecified.
     pub max_tokens: u64,
-    /// An estimate of the answer's length, as time at the class's inter-token objective.
+    /// The client's estimate of the response length, as decode time at the class's inter-token objective.
     pub expected_decode_time: Option<Micros>,
-    /// The class's name.
+    /// The name of the request class.
     pub class: String,
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: Option<String>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,83 +1,85 @@
-//! What a deployment states at start.
+//! The settings of a deployment, fixed at startup.
 
 use super::Micros;
 
-/// What workers of a kind do.
+/// The stages that the workers of a kind execute.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Processes prompts; the KV cache waits in its memory.
+    /// Processes prompts and holds the KV cache for a decode worker to fetch.
     Prefill,
-    /// Fetches a KV cache and streams the answer.
+    /// Fetches a KV cache and streams the response.
     Decode,
-    /// Does both.
+    /// Executes both stages.
     #[default]
     Unified,
 }
 
-/// A kind of worker.
+/// A kind of worker: workers of the same role and KV cache capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerKind {
-    /// Its name in endpoint lists.
+    /// The name of the kind in endpoint lists.
     pub name: String,
-    /// What its workers do.
+    /// The role of its workers.
     pub role: Role,
-    /// KV cache memory of one worker, in tokens, where the deployment states it.
+    /// The KV cache capacity of one worker, in tokens; `None` if unspecified.
     pub kv_cache_tokens: Option<u64>,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated at will.
+    /// It may run any number of times.
     #[default]
     Idempotent,
-    /// It carries an idempotency key: workers of one scope drop its repeats for a time.
+    /// It carries an idempotency key: workers within the scope drop duplicates during the deduplication
+    /// window.
     Keyed(DeduplicationScope),
-    /// It must never run twice.
+    /// It must not run more than once.
     NonIdempotent,
 }
 
-/// The workers that recognize each other's repeats of a request with an idempotency key.
+/// The set of workers that share idempotency keys, and so recognize a duplicate of a request that another one
+/// has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
     /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
     /// How long workers remember an idempotency key, from the first attempt that may have run.
     pub deduplication_window: Micros,
-    /// Latency objective for the first token, before the part that grows with the prompt.
+    /// The latency objective for the first token, without the part that grows with the prompt.
     pub first_token_objective: Micros,
-    /// Added to the objective for each 1,000 prompt tokens.
+    /// The addition to the first-token objective per 1,000 prompt tokens.
     pub first_token_objective_per_1000_tokens: Micros,
-    /// Latency objective for the time between tokens.
+    /// The latency objective for the time between tokens.
     pub inter_token_objective: Micros,
-    /// How long a client waits, over all its retries. The present policy does not read it: each request brings
-    /// its own deadline.
+    /// How long a client waits, over all its retries. Unused by the current policy: each request carries its
+    /// own deadline.
     pub client_timeout: Micros,
-    /// Priority weight, per request or per unit of work.
+    /// The priority weight of a request, per request or per unit of work.
     pub priority_weight: f64,
-    /// Share of the weight that a late answer still earns. The present policy does not read it.
+    /// The fraction of the weight that a late response still earns. Unused by the current policy.
     pub late_weight: f64,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Requests a second within its quota, over all routers.
+    /// The tenant's quota over all routers, in requests per second.
     pub quota_per_s: f64,
 }
 
@@ -87,76 +89,79 @@
     /// Never.
     #[default]
     None,
-    /// With results of health checks only.
+    /// With health check results only.
     HealthChecks,
-    /// With the end of attempts and results of health checks.
+    /// With responses to attempts and health check results.
     Responses,
 }
 
-/// What a deployment states at start.
+/// The settings of a deployment and of one router in it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// This router's index among the replicas, from 0.
     pub replica_index: u32,
-    /// How many routers serve this deployment.
+    /// The number of routers in the deployment.
     pub replica_count: u32,
-    /// This router's zone.
+    /// The availability zone that this router runs in.
     pub zone: String,
-    /// The kinds of worker.
+    /// The kinds of worker in the deployment.
     pub worker_kinds: Vec<WorkerKind>,
-    /// The classes of request.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants with a quota; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request beyond its tenant's quota, as a part of its class's.
+    /// The factor applied to the priority weight of a request beyond its tenant's quota.
     pub over_quota_weight: f64,
     /// When workers report their load.
     pub load_reporting: LoadReporting,
-    /// Whether updates of the endpoint list come only on a watch.
+    /// Whether the endpoint list is updated only through a watch that the router opens.
     pub watch_required: bool,
-    /// A router without a watch counts as notified of an update this long after it happened. The present
-    /// policy does not read it.
+    /// A router without a watch counts as notified of an update this long after it happened. Unused by the
+    /// current policy.
     pub notification_delay: Micros,
     /// Whether health checks are allowed.
     pub health_checks_allowed: bool,
-    /// Whether routers may gossip.
+    /// Whether routers may send each other gossip messages.
     pub gossip_allowed: bool,
     /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Whether two attempts of one request may be in flight at once. The present policy does not read it, as
-    /// it never hedges; `rules::send` does.
+    /// Whether hedged requests are allowed: two attempts of one request in flight at once. The current policy
+    /// never hedges and does not read it; [`rules::send`](crate::rules::send) does.
     pub hedging_allowed: bool,
-    /// Whether a decode worker processes the prompt itself when there is no KV cache to fetch.
+    /// Whether a decode worker runs the prefill itself when there is no KV cache to fetch.
     pub decode_can_prefill: bool,
-    /// Whether clients are told when to retry.
+    /// Whether rejections carry `Retry-After`.
     pub retry_after_allowed: bool,
-    /// The longest `Retry-After` that a client follows.
+    /// The longest `Retry-After` that clients follow.
     pub max_retry_after: Micros,
-    /// Attempts allowed for each request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A connection that is not established by then has failed.
+    /// The time limit for establishing a connection to a worker.
     pub connect_timeout: Micros,
-    /// The least time between two batches of events.
+    /// The minimum time between two batches of events.
     pub event_interval: Micros,
-    /// A KV cache or slot held while no attempt is in flight must be fetched or released within this.
+    /// The time limit for fetching or releasing a KV cache or slot that is held while no attempt is in
+    /// flight.
     pub cache_hold_limit: Micros,
-    /// A final answer still counts this long after the client's deadline. Read by the runtime alone.
+    /// How long after the client's deadline a final response still counts. Read by the runtime only.
     pub answer_grace: Micros,
-    /// Nothing new may reach a draining or removed worker later than this after the notification. The present
-    /// policy does not read it: it sends nothing to such a worker from the notification on.
+    /// How long after the notification new requests may still reach a draining or removed worker. Unused by
+    /// the current policy, which sends nothing to such a worker from the notification on.
     pub drain_grace: Micros,
-    /// A worker starts with at least this part of its capacity.
+    /// The fraction of its capacity that a worker has at least when it starts.
     pub slow_start_floor: f64,
-    /// A worker is warm this long after its start.
+    /// The time from the start of a worker until it has its full capacity.
     pub slow_start_duration: Micros,
-    /// A worker in slow start is overloaded when sent more than this multiple of its present capacity...
+    /// A worker in slow start is overloaded if it is sent more than this multiple of its current capacity
+    /// within [`overload_window`](Self::overload_window).
     pub overload_multiple: f64,
-    /// ...over this long.
+    /// The period over which [`overload_multiple`](Self::overload_multiple) applies.
     pub overload_window: Micros,
 }
 
 impl Settings {
-    /// Whether neither workers nor other routers can tell this one of the load that the others cause.
+    /// Whether this router has no source for the load caused by other routers: neither load reports nor
+    /// gossip.
     pub fn is_load_unobservable(&self) -> bool {
         !self.gossip_allowed && self.load_reporting == LoadReporting::None
     }
