--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -1,68 +1,69 @@
-//! When a client's connection is closed, and why.
+//! When and why a client connection is closed.
 //!
-//! Two rules have their place elsewhere. A connection with a stream in flight is never due here:
-//! `net::upstream::stream` cuts a stream whose client takes nothing of it. Which connections are evicted when
-//! slots run short is chosen by `net::server::connections`; here it is only decided when an evicted one closes.
+//! Two decisions are made elsewhere. A connection with a stream in flight has no deadline here:
+//! `net::upstream::stream` ends a stream that its client does not read. `net::server::connections` selects
+//! the connections to evict when slots run short; this module decides when an evicted connection closes.
 
 use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request has this long to be received completely, from its first byte and, where it is the first of its
-/// connection, from the accept. Progress doesn't restart it: an incomplete head, an incomplete body and one
-/// byte at a time all occupy a slot.
+/// The time limit for receiving a complete request, from its first byte or, for the first request of a
+/// connection, from the accept. Progress does not extend it: a client that sends one byte at a time occupies
+/// a slot as much as one that stops in the middle of a head or a body.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// A connection on which nothing was received since its accept is closed after this.
-const SILENT_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// The same in the closing phase of a graceful shutdown: time for the request of a client that has just
-/// connected.
-const SILENT_TIMEOUT_AT_SHUTDOWN: Duration = Duration::from_millis(500);
-/// A client that has had an answer may send the next request of its session, and this router knows which
-/// worker has the session's text cached. Its connection is closed after this, or as soon as its slot is
-/// needed.
+/// The time limit for receiving the first byte of a connection, from its accept.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// The same in the closing phase of a graceful shutdown. It leaves a client that has just connected time to
+/// send its request.
+const SHUTDOWN_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a keep-alive connection may be idle, unless its slot is needed earlier. It is kept because its
+/// client may send the next request of its session, and this router knows which worker has the session's text
+/// cached.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A client that takes nothing of its answer for this long is gone. It holds at each place where an answer may
-/// wait for its client: the socket, the relay of a worker's stream, and the JSON-RPC frontend's lines.
+/// A client that reads nothing of its response for this long is considered gone. Applies wherever a response
+/// may wait for its client: at the socket, in the relay of a worker's stream and in the JSON-RPC frontend's
+/// output.
 pub const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a client connection is doing.
+/// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// Nothing of a next request was received since then.
+    /// No byte of the next request has been received; the time is the start of the phase.
     Idle(Instant),
-    /// A request began to arrive then, and is not complete.
+    /// A request has been received in part; the time is that of its first byte.
     ReceivingRequest(Instant),
-    /// A request was received completely and waits for its answer.
+    /// A request has been received completely and awaits its response.
     AwaitingResponse,
-    /// A stream is being passed on.
+    /// A response is being streamed.
     Streaming,
-    /// The router shut down its sending side then, and the client has not closed yet.
+    /// The router shut down its sending side at this time, and the client has not closed yet.
     Closing(Instant),
 }
 
-/// Whether a connection's slot is needed for others.
+/// Whether a connection is evicted because other connections need its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eviction {
-    /// It is not.
+    /// It is not evicted.
     None,
-    /// It is, and there is time for the client to close first.
+    /// It is evicted, with time for the client to close first.
     Graceful,
-    /// It is, at once.
+    /// It is evicted at once.
     Immediate,
 }
 
-/// A connection at the moment in which its close is decided on.
+/// The state of a connection when its close is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSnapshot {
-    /// What it is doing.
+    /// The phase of the connection.
     pub phase: ConnectionPhase,
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub accepted_at: Instant,
-    /// Whether a request was ever answered on it.
+    /// Whether at least one request has been answered on it.
     pub has_answered: bool,
-    /// Whether there are bytes to write that the client does not read.
+    /// Whether output is pending because the client does not read it.
     pub is_write_blocked: bool,
-    /// Whether its slot is needed for others.
+    /// Whether the connection is evicted.
     pub eviction: Eviction,
     /// Whether a graceful shutdown is in its closing phase.
     pub is_closing_phase: bool,
@@ -71,28 +72,29 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// HTTP ends it: its last answer was given, or its client closed between two requests.
+    /// It ended as HTTP provides: after its last response, or by the client between two requests.
     Completed,
-    /// The body of an answer failed: the stream of its worker broke. Handled as [`CloseReason::Completed`].
+    /// The body of a response failed because the worker's stream broke. Handled like
+    /// [`CloseReason::Completed`].
     StreamBroken,
-    /// The socket failed, or the client closed in the middle of a request. Handled as
+    /// The socket failed, or the client closed in the middle of a request. Handled like
     /// [`CloseReason::Completed`].
     ConnectionError,
-    /// What was received is no valid HTTP.
+    /// The received bytes are not valid HTTP.
     MalformedRequest,
-    /// Nothing was received since its accept.
+    /// No byte was received after the accept.
     Silent,
-    /// Nothing was received for too long after its last answer.
+    /// The idle timeout after its last response has passed.
     Idle,
-    /// Its slot is needed for others.
+    /// Its slot was needed for another connection.
     Evicted,
-    /// The process is about to end.
+    /// The router is shutting down.
     Shutdown,
-    /// A request was not complete in time.
+    /// A request was not received completely in time.
     RequestTimeout,
-    /// Its client reads nothing of its answer.
+    /// The client does not read its response.
     WriteTimeout,
-    /// Its client disconnected in the middle of a stream.
+    /// The client disconnected during a stream.
     ClientDisconnected,
 }
 
@@ -114,12 +116,12 @@
     }
 }
 
-/// When a connection is to be closed if nothing changes, and why; `None` while a request is in flight on it,
-/// and while it is being closed already.
+/// When and why a connection is to be closed if its state does not change; `None` while a request is in
+/// flight on it or the router has already shut down its sending side.
 pub fn close_deadline(connection: &ConnectionSnapshot) -> Option<(Instant, CloseReason)> {
     let ConnectionSnapshot { accepted_at, has_answered, is_closing_phase, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
-    let overdue =
+    let overdue_reason =
         if connection.is_write_blocked { CloseReason::WriteTimeout } else { CloseReason::RequestTimeout };
     match connection.phase {
         ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming | ConnectionPhase::Closing(_) => None,
@@ -132,19 +134,19 @@
         }
         ConnectionPhase::Idle(since) if has_answered => Some((since + IDLE_TIMEOUT, CloseReason::Idle)),
         ConnectionPhase::Idle(_) if is_closing_phase => {
-            Some((accepted_at + SILENT_TIMEOUT_AT_SHUTDOWN, CloseReason::Shutdown))
+            Some((accepted_at + SHUTDOWN_FIRST_BYTE_TIMEOUT, CloseReason::Shutdown))
         }
-        ConnectionPhase::Idle(since) => Some((since + SILENT_TIMEOUT, CloseReason::Silent)),
-        ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted_at, overdue)),
+        ConnectionPhase::Idle(since) => Some((since + FIRST_BYTE_TIMEOUT, CloseReason::Silent)),
+        ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted_at, overdue_reason)),
         ConnectionPhase::ReceivingRequest(_) if !has_answered => {
-            Some((accepted_at + REQUEST_TIMEOUT, overdue))
+            Some((accepted_at + REQUEST_TIMEOUT, overdue_reason))
         }
-        ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue)),
+        ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue_reason)),
     }
 }
 
-/// Whether a connection is between two requests with its last answer written out. The closing phase of a
-/// graceful shutdown closes it at once: a request that arrived while a timer runs out would have to be
+/// Whether a connection is between two requests, with its last response written out. The closing phase of a
+/// graceful shutdown closes it at once: a request that arrived before a timer expired would have to be
 /// accepted.
 pub fn is_idle_between_requests(connection: &ConnectionSnapshot) -> bool {
     matches!(connection.phase, ConnectionPhase::Idle(_))
@@ -152,12 +154,12 @@
         && !connection.is_write_blocked
 }
 
-/// Whether a connection that is due may be closed at this moment: not while a request is in flight on it, nor
-/// while there are unread bytes, which would be a request.
-pub fn may_close(phase: ConnectionPhase, has_unread: bool) -> bool {
+/// Whether a connection whose deadline has passed may be closed now: not while a request is in flight on it,
+/// nor while it is idle with unread bytes, which are the start of a request.
+pub fn may_close(phase: ConnectionPhase, has_unread_bytes: bool) -> bool {
     match phase {
         ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming | ConnectionPhase::Closing(_) => false,
-        ConnectionPhase::Idle(_) => !has_unread,
+        ConnectionPhase::Idle(_) => !has_unread_bytes,
         ConnectionPhase::ReceivingRequest(_) => true,
     }
 }
--- a/src/rules/idempotency.rs
+++ b/src/rules/idempotency.rs
@@ -1,21 +1,21 @@
-//! Which requests may be repeated, and which may be rejected.
+//! Whether a request may be retried, and whether it may be rejected.
 
 use crate::interface::{DeduplicationScope, Idempotency, Micros};
 
 /// An earlier attempt that may have had an effect.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// Whether its worker and the one in question are in one deduplication scope.
+    /// Whether its worker and the candidate for the retry are in the same deduplication scope.
     pub same_scope: bool,
 }
 
-/// The time before which a repeat has to arrive at a worker, given the earlier attempts that may have had an
-/// effect; [`Micros::MAX`]: at any time, `None`: never.
+/// The time before which a retry has to arrive at the candidate worker, given the earlier attempts that may
+/// have had an effect; [`Micros::MAX`]: no limit, `None`: no retry is allowed.
 ///
-/// With an idempotency key, the deduplication window of each earlier attempt counts, and one outside the
-/// scope of the worker in question rules a repeat there out.
+/// With an idempotency key, the retry must arrive within the deduplication window of each earlier attempt. An
+/// earlier attempt outside the candidate's deduplication scope rules the retry out.
 pub fn latest_retry_arrival(
     idempotency: Idempotency,
     deduplication_window: Micros,
@@ -28,17 +28,17 @@
             let window_ends = earlier.map(|attempt| {
                 attempt.same_scope.then(|| attempt.sent_at.saturating_add(deduplication_window))
             });
-            // `None` is less than any time: one attempt outside the scope decides.
+            // `None` is less than any time, so a single attempt outside the scope rules the retry out.
             window_ends.min().unwrap_or(Some(Micros::MAX))
         }
     }
 }
 
-/// Whether a request may be rejected, which promises the client that a retry is harmless.
+/// Whether a request may be rejected. A rejection promises the client that a retry is harmless.
 pub fn is_rejection_harmless(idempotency: Idempotency, may_have_run: bool) -> bool {
     let is_retry_harmless = match idempotency {
         Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All) => true,
-        // A retry may reach a worker outside the scope in which the first attempt is recognized.
+        // The client's retry may reach a worker outside the scope of the first attempt.
         Idempotency::Keyed(DeduplicationScope::Zone | DeduplicationScope::Cell) => false,
         Idempotency::NonIdempotent => false,
     };
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,10 +1,9 @@
-//! The invariants that the router keeps: each is decided in one place and checked while the router runs.
+//! The invariants of the router. Each is decided in one place and checked at run time.
 //!
-//! [`send`] decides whether an attempt may be made and whether it may be written, [`idempotency`] whether a
-//! request may be repeated or rejected, and [`close`] when a client's connection may end. All of these are
-//! functions of plain facts: whoever is about to act collects the facts of that moment and asks. Where two
-//! parts of the program have to agree, the driver asks again after the policy, and an action that would break
-//! an invariant is counted in [`Violations`] and not executed.
+//! [`send`] decides whether an attempt may be made and whether its bytes may be written, [`idempotency`]
+//! whether a request may be retried or rejected, and [`close`] when a client connection is closed. All are pure
+//! functions of the state that the caller passes in when it is about to act. The driver repeats the checks of
+//! the policy: an action that would break an invariant is counted in [`Violations`] and not executed.
 
 pub mod close;
 pub mod idempotency;
@@ -16,19 +15,20 @@
 /// An invariant that is checked at run time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A request has one attempt in flight at a time, unless hedging is allowed.
+    /// A request has at most one attempt in flight, unless hedging is allowed.
     SingleAttemptInFlight,
     /// A request has no more attempts than the settings allow.
     AttemptLimit,
-    /// Nothing is sent for a request that has its final answer.
+    /// No attempt is sent for a request that has its final response.
     NoAttemptAfterResponse,
-    /// A request that is not idempotent does not run twice.
+    /// A non-idempotent request does not run twice.
     AtMostOnce,
-    /// A request is only rejected if retrying it is harmless.
+    /// A request is rejected only if a retry is harmless.
     RejectionSafeToRetry,
-    /// Each request has its final answer within the tolerance after its deadline.
+    /// Each request has its final response at most [`answer_grace`](crate::interface::Settings::answer_grace)
+    /// after its deadline.
     FinalResponse,
-    /// No KV cache is held for a request that is over.
+    /// No KV cache is held for a request that has ended.
     CacheReleased,
 }
 
@@ -44,24 +44,23 @@
     ];
 }
 
-/// How often each invariant was found broken, or would have been.
+/// Counts the violations of each invariant, prevented ones included.
 #[derive(Debug, Default)]
 pub struct Violations([Cell<u64>; Invariant::ALL.len()]);
 
 impl Violations {
-    /// Counts a violation and logs it with the request that it concerns. Monitoring looks for the prefix of
-    /// the line.
+    /// Counts a violation and logs it with its request. Monitoring matches the prefix of the log line.
     pub fn record(&self, invariant: Invariant, request: &str, detail: impl fmt::Display) {
         self.0[invariant as usize].set(self.count(invariant) + 1);
         log::error!("violation: {invariant:?}, request {request}: {detail}");
     }
 
-    /// How often an invariant was found broken.
+    /// The number of violations of an invariant.
     pub fn count(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize].get()
     }
 
-    /// The violations of all invariants together.
+    /// The number of violations of all invariants.
     pub fn total(&self) -> u64 {
         Invariant::ALL.iter().map(|invariant| self.count(*invariant)).sum()
     }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -1,23 +1,23 @@
-//! Checks whether an attempt may be made, and whether it may be written.
+//! Whether an attempt may be made, and whether its bytes may be written.
 
 use super::Invariant;
 use crate::interface::{Idempotency, Micros, Outcome};
 use std::fmt;
 
-/// A request at the moment in which an attempt is decided on.
+/// The state of a request when another attempt is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSnapshot {
-    /// Whether it has its final answer.
+    /// Whether the request has its final response.
     pub is_answered: bool,
-    /// How many attempts there have been.
+    /// The number of attempts made so far.
     pub attempts: usize,
-    /// How many attempts are allowed.
+    /// The maximum number of attempts.
     pub max_attempts: usize,
-    /// How many attempts are in flight.
+    /// The number of attempts in flight.
     pub attempts_in_flight: usize,
-    /// Whether more than one may be in flight.
+    /// Whether more than one attempt may be in flight.
     pub hedging_allowed: bool,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotency: Idempotency,
     /// Whether an earlier attempt may have had an effect.
     pub may_have_run: bool,
@@ -26,7 +26,7 @@
 /// Checks whether another attempt may be made for a request.
 ///
 /// # Errors
-/// The invariant that the attempt would break.
+/// The invariant that the attempt would violate.
 pub fn check_attempt(request: &RequestSnapshot) -> Result<(), Invariant> {
     if request.is_answered {
         return Err(Invariant::NoAttemptAfterResponse);
@@ -43,46 +43,46 @@
     Ok(())
 }
 
-/// An attempt at the moment in which bytes of it are about to be written.
+/// The state of an attempt when bytes of it are about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptSnapshot {
-    /// Whether its request still waits for its final answer.
+    /// Whether the request has no final response yet.
     pub is_request_open: bool,
-    /// Whether its client has disconnected.
+    /// Whether the client has disconnected.
     pub client_disconnected: bool,
-    /// The present time.
+    /// The current time.
     pub now: Micros,
     /// When the attempt times out.
     pub deadline: Micros,
-    /// The attempt must be written before this, its first byte and every later part, so that it arrives
-    /// inside its deduplication window; `None`: at any time.
+    /// The time before which the first byte and each later part must be written, so that the attempt arrives
+    /// inside its deduplication window; `None`: no limit.
     pub deduplication_deadline: Option<Micros>,
-    /// Whether its worker is in service.
+    /// Whether the worker is in service.
     pub worker_is_ready: bool,
 }
 
-/// Why an attempt may not begin, or not go on.
+/// Why an attempt is withheld: it may not start, or the rest of it may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithholdReason {
-    /// Its request has its final answer.
+    /// The request has its final response.
     Answered,
-    /// Its client has disconnected.
+    /// The client has disconnected.
     ClientDisconnected,
-    /// It has timed out.
+    /// The attempt has timed out.
     TimedOut,
-    /// Workers would not recognize it as a repeat any more.
+    /// Workers would no longer recognize the attempt as a duplicate.
     DeduplicationWindowExpired,
-    /// Its worker is draining or removed.
+    /// The worker is draining or removed.
     WorkerNotReady,
 }
 
 impl WithholdReason {
-    /// The outcome of an attempt of which nothing was written.
+    /// The outcome of a withheld attempt of which no byte was written.
     pub fn outcome(self) -> Outcome {
         match self {
             WithholdReason::Answered | WithholdReason::ClientDisconnected => Outcome::Cancelled,
-            // Its time was spent before the first byte, which for the most part means on connecting: it counts
-            // against the worker like a connection that is not established in time.
+            // The time before the first byte is mostly spent on connecting, so this counts as a failure of
+            // the worker, like a connection that is not established in time.
             WithholdReason::TimedOut => Outcome::ConnectFailed,
             WithholdReason::DeduplicationWindowExpired | WithholdReason::WorkerNotReady => Outcome::NotSent,
         }
@@ -92,11 +92,11 @@
 impl fmt::Display for WithholdReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            WithholdReason::Answered => "its request has been answered",
-            WithholdReason::ClientDisconnected => "its client has disconnected",
-            WithholdReason::TimedOut => "it has timed out",
-            WithholdReason::DeduplicationWindowExpired => "the deduplication window is over",
-            WithholdReason::WorkerNotReady => "its worker is draining or removed",
+            WithholdReason::Answered => "the request has its final response",
+            WithholdReason::ClientDisconnected => "the client has disconnected",
+            WithholdReason::TimedOut => "the attempt has timed out",
+            WithholdReason::DeduplicationWindowExpired => "the deduplication window has expired",
+            WithholdReason::WorkerNotReady => "the worker is draining or removed",
         })
     }
 }
@@ -104,7 +104,7 @@
 /// Checks whether bytes of an attempt may be written now.
 ///
 /// # Errors
-/// Why not.
+/// The reason for withholding the attempt.
 pub fn check_write(attempt: &AttemptSnapshot) -> Result<(), WithholdReason> {
     if !attempt.is_request_open {
         return Err(WithholdReason::Answered);
