--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,9 +1,10 @@
 //! The invariants of the router. Each is decided in one place and checked at run time.
 //!
 //! [`send`] decides whether an attempt may be made and whether its bytes may be written, [`idempotency`]
-//! whether a request may be retried or rejected, and [`close`] when a client connection is closed. All are pure
-//! functions of the state that the caller passes in when it is about to act. The driver repeats the checks of
-//! the policy: an action that would break an invariant is counted in [`Violations`] and not executed.
+//! whether a request may be retried or rejected, and [`close`] when a client connection is closed. All are
+//! pure functions of the state that the caller passes in when it is about to act. The driver repeats the
+//! checks of the policy: an action that would break an invariant is counted in [`Violations`] and not
+//! executed.
 
 pub mod close;
 pub mod idempotency;
--- a/src/wire_format/flatten.rs
+++ b/src/wire_format/flatten.rs
@@ -1,45 +1,47 @@
-//! Nested settings as the flat key and value pairs of the simulator's wire.
+//! Flattens nested settings into the key and value pairs of the simulator's wire.
 
 use serde_json::Value;
 
-/// Flattens nested JSON into the dotted keys and plain values that [`read_settings`](super::read_settings) takes.
+/// Flattens nested JSON into the dotted keys and scalar values that [`read_settings`](super::read_settings)
+/// parses.
 ///
-/// A list of objects becomes a `.count` and numbered keys; a list of plain values becomes one value, joined by commas.
-/// Nulls are left out. Spaces and commas within a string become underscores, since both separate values on the wire.
+/// An array with objects becomes a `.count` key and one group of keys per index; an array of scalars becomes
+/// one comma-separated value. Nulls are skipped. Spaces and commas within a string are replaced by
+/// underscores, since both are separators on the wire.
 pub fn flatten_settings(settings: &Value) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     flatten("", settings, &mut pairs);
     pairs
 }
 
-/// Adds the pairs of a value that stands at this dotted path.
+/// Adds the pairs of the value at a dotted path.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     match value {
         Value::Null => {}
         Value::Object(fields) => {
             for (key, field) in fields {
-                flatten(&join(path, key), field, pairs);
+                flatten(&join_path(path, key), field, pairs);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.push((join(path, "count"), items.len().to_string()));
+            pairs.push((join_path(path, "count"), items.len().to_string()));
             for (index, item) in items.iter().enumerate() {
-                flatten(&join(path, &index.to_string()), item, pairs);
+                flatten(&join_path(path, &index.to_string()), item, pairs);
             }
         }
         Value::Array(items) => {
-            let values: Vec<String> = items.iter().map(plain_value).collect();
+            let values: Vec<String> = items.iter().map(scalar_text).collect();
             pairs.push((path.to_owned(), values.join(",")));
         }
-        plain => pairs.push((path.to_owned(), plain_value(plain))),
+        scalar => pairs.push((path.to_owned(), scalar_text(scalar))),
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-fn plain_value(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
         Value::Null => String::new(),
--- a/src/wire_format/load_report.rs
+++ b/src/wire_format/load_report.rs
@@ -1,29 +1,29 @@
-//! Load reports of workers.
+//! The format of load reports from workers.
 
 use crate::interface::LoadReport;
 
-/// Workers count the tokens in their queue in thousands.
+/// Workers report queued prompt tokens in thousands.
 const TOKENS_PER_QUEUE_UNIT: f64 = 1000.0;
 
-/// Why a load report can't be used.
+/// Why a load report is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LoadReportError {
-    /// An item without a separator between its name and its value.
+    /// An item has no separator between name and value.
     #[error("load report: no value in {item:?}")]
     MissingValue {
-        /// The item as it was sent.
+        /// The item as received.
         item: String,
     },
-    /// A value that is not a number.
+    /// The value of an item is not a number.
     #[error("load report: not a number in {item:?}")]
     InvalidValue {
-        /// The item as it was sent.
+        /// The item as received.
         item: String,
     },
 }
 
 impl LoadReportError {
-    /// The item that could not be read, as it was sent.
+    /// The malformed item as received.
     pub fn item(&self) -> &str {
         match self {
             LoadReportError::MissingValue { item } | LoadReportError::InvalidValue { item } => item,
@@ -31,10 +31,11 @@
     }
 }
 
-/// Parses a load report: `name:value` (or `name=value`) items separated by commas. Unknown names are skipped.
+/// Parses a load report: comma-separated items of the form `name:value` or `name=value`. Unknown names are
+/// skipped.
 ///
 /// # Errors
-/// The first item that can't be read.
+/// The first malformed item.
 pub fn parse_load_report(text: &str) -> Result<LoadReport, LoadReportError> {
     let mut report = LoadReport::default();
     for item in text.split(',') {
--- a/src/wire_format/mod.rs
+++ b/src/wire_format/mod.rs
@@ -1,7 +1,7 @@
-//! The forms in which the operators state settings and workers report their load.
+//! The formats of settings and load reports, shared by the configuration files and the simulator's wire.
 //!
-//! The platform's configuration and the simulator's wire share them. The operators' words for keys and values stand
-//! here alone; everything behind this module uses the terms of [`interface`](crate::interface).
+//! The external names of keys and values appear only here; the rest of the code uses the terms of
+//! [`interface`](crate::interface).
 
 mod flatten;
 mod load_report;
--- a/src/wire_format/setting_values.rs
+++ b/src/wire_format/setting_values.rs
@@ -1,28 +1,29 @@
-//! Typed access to settings that come as pairs of text.
+//! Typed access to settings given as pairs of strings.
 
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 ///
-/// The texts begin with `INIT`, the simulator's message that carries settings: its wire and the configuration share
-/// this decoder. So the operators of a router read, for example, `configuration: INIT: setting my_zone is missing`.
-/// `INIT` has no other meaning there, and stays because the texts are part of both interfaces.
+/// The error texts start with `INIT`, the simulator's message that carries settings, because the simulator's
+/// wire and the configuration files share this parser. In errors about configuration files, such as
+/// `configuration: INIT: setting my_zone is missing`, `INIT` has no meaning; it is kept because the texts are
+/// part of both interfaces.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A setting that has to be stated is not.
+    /// A required setting is missing.
     #[error("INIT: setting {key} is missing")]
     Missing {
-        /// The setting.
+        /// The key of the setting.
         key: String,
     },
-    /// A setting has a value that can't be used.
+    /// A setting has an invalid value.
     #[error("INIT: field {key} has the value {value:?}")]
     Invalid {
-        /// The setting.
+        /// The key of the setting.
         key: String,
-        /// Its value: of a list, the item at fault.
+        /// The invalid value; for a list, the invalid item.
         value: String,
     },
 }
@@ -37,7 +38,7 @@
     }
 }
 
-/// Settings by key. Of a key that comes twice, the last value counts.
+/// Settings by key. The last value of a duplicate key applies.
 pub(super) struct SettingValues<'a> {
     by_key: BTreeMap<&'a str, &'a str>,
 }
@@ -47,37 +48,37 @@
         SettingValues { by_key: pairs.collect() }
     }
 
-    /// A value that may be unstated.
+    /// An optional value.
     pub fn optional_text(&self, key: &str) -> Option<&'a str> {
         self.by_key.get(key).copied()
     }
 
-    /// A value that has to be stated.
-    pub fn text(&self, key: &str) -> Result<&'a str, SettingsError> {
+    /// A required value.
+    pub fn required_text(&self, key: &str) -> Result<&'a str, SettingsError> {
         self.optional_text(key).ok_or_else(|| SettingsError::missing(key))
     }
 
-    /// A value that may be unstated, parsed.
+    /// An optional value, parsed.
     pub fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         self.optional_text(key).map(|value| parse(key, value)).transpose()
     }
 
-    /// A value that has to be stated, parsed.
+    /// A required value, parsed.
     pub fn required<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
         self.optional(key)?.ok_or_else(|| SettingsError::missing(key))
     }
 
-    /// A length of time. The wire allows fractions of a microsecond, which are cut off.
+    /// An optional duration in microseconds. The wire allows fractions, which are truncated.
     pub fn optional_micros(&self, key: &str) -> Result<Option<Micros>, SettingsError> {
         Ok(self.optional::<f64>(key)?.map(|value| value as Micros))
     }
 
-    /// A length of time that has to be stated; see [`Self::optional_micros`].
-    pub fn micros(&self, key: &str) -> Result<Micros, SettingsError> {
+    /// A required duration; see [`Self::optional_micros`].
+    pub fn required_micros(&self, key: &str) -> Result<Micros, SettingsError> {
         self.required::<f64>(key).map(|value| value as Micros)
     }
 
-    /// Whether something is on; off when unstated.
+    /// A boolean; false if unspecified.
     pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match self.optional_text(key) {
             Some("true" | "1") => Ok(true),
@@ -86,13 +87,13 @@
         }
     }
 
-    /// The items of a list, empty ones left out; no items when unstated.
+    /// The non-empty items of a list; no items if unspecified.
     pub fn list(&self, key: &str) -> Vec<&'a str> {
         let items = self.optional_text(key).unwrap_or("").split(',');
         items.filter(|item| !item.is_empty()).collect()
     }
 
-    /// The item of a list at an index, if the list is that long.
+    /// The parsed item of a list at an index, if the list is that long.
     pub fn list_item<T: FromStr>(&self, key: &str, index: usize) -> Result<Option<T>, SettingsError> {
         self.list(key).get(index).map(|value| parse(key, value)).transpose()
     }
