--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -2,7 +2,7 @@
 
 use super::{Config, ConfigError, Limits, ToolSettings};
 use crate::net::discovery::{EndpointUpdate, ListMessage};
-use crate::wire_format::{flatten_settings, idle_connection_timeout, read_settings};
+use crate::wire_format::{flatten_settings, idle_connection_timeout, parse_settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
             .ok_or(ConfigError::MissingListenAddress)?;
         let discovery = address_or_variable(self.discovery, "NODE_DISCOVERY", &env)?;
         let pairs = flatten_settings(&self.settings);
-        let settings = read_settings(pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())))?;
+        let settings = parse_settings(pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())))?;
         let seed = parse_seed(&self.seed)?;
         self.limits.validate()?;
         Ok(Config {
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -8,7 +8,7 @@
 use super::lines::LineReader;
 use crate::interface::{Event, Micros};
 use crate::policy::Policy;
-use crate::wire_format::read_settings;
+use crate::wire_format::parse_settings;
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -73,7 +73,7 @@
         let router: u32 = fields.required("router")?;
         if message == "INIT" {
             let seed = fields.required("nonce64")?;
-            let settings = read_settings(fields.into_assignments())?;
+            let settings = parse_settings(fields.into_assignments())?;
             return Ok((router, Command::Start(Box::new(Policy::new(settings, seed)))));
         }
         if !self.policies.contains_key(&router) {
--- a/src/wire_format/flatten.rs
+++ b/src/wire_format/flatten.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-/// Flattens nested JSON into the dotted keys and scalar values that [`read_settings`](super::read_settings)
+/// Flattens nested JSON into the dotted keys and scalar values that [`parse_settings`](super::parse_settings)
 /// parses.
 ///
 /// An array with objects becomes a `.count` key and one group of keys per index; an array of scalars becomes
--- a/src/wire_format/mod.rs
+++ b/src/wire_format/mod.rs
@@ -11,7 +11,7 @@
 pub use flatten::flatten_settings;
 pub use load_report::{LoadReportError, parse_load_report};
 pub use setting_values::SettingsError;
-pub use settings::{idle_connection_timeout, read_settings};
+pub use settings::{idle_connection_timeout, parse_settings};
 
 #[cfg(test)]
 mod tests;
--- a/src/wire_format/settings.rs
+++ b/src/wire_format/settings.rs
@@ -13,7 +13,9 @@
 ///
 /// # Errors
 /// The setting that is missing or invalid.
-pub fn read_settings<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> Result<Settings, SettingsError> {
+pub fn parse_settings<'a>(
+    pairs: impl Iterator<Item = (&'a str, &'a str)>,
+) -> Result<Settings, SettingsError> {
     let values = SettingValues::new(pairs);
     let worker_kinds = parse_worker_kinds(&values)?;
     let classes = parse_classes(&values)?;
