--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,53 +1,53 @@
-//! Why a configuration can't be used.
+//! Errors of the configuration.
 
 use crate::wire_format::SettingsError;
 use std::net::AddrParseError;
 
-/// Why a configuration can't be used. Its text is one line for the operators, without the file's name.
+/// Why a configuration is invalid. The error text is a single line for operators, without the file name.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The text is not JSON, or lacks a field or has one of another form than the configuration's.
+    /// The text is not valid JSON, or a field is missing or has the wrong type.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// The text is not TOML.
+    /// The text is not valid TOML.
     #[error("configuration: line {line}: {message}")]
     Toml {
-        /// The line at fault, from 1; 0 when unknown.
+        /// The line of the error, from 1; 0 if unknown.
         line: usize,
-        /// What is wrong there, in one line.
+        /// The parser's message, on a single line.
         message: String,
-        /// What the parser said.
+        /// The parser's error.
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// Neither the configuration nor the environment says where to listen.
+    /// Neither the configuration nor the environment specifies a listen address.
     #[error("configuration: listen is missing")]
     MissingListenAddress,
-    /// An environment variable that should hold an address does not.
+    /// The value of an environment variable is not a socket address.
     #[error("configuration: {variable}: not an address: {value:?}")]
     InvalidAddress {
-        /// The variable.
+        /// The name of the variable.
         variable: &'static str,
-        /// Its value.
+        /// The value of the variable.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// The settings of the policy can't be used.
+    /// The settings of the policy are invalid.
     #[error("configuration: {0}")]
     Settings(#[from] SettingsError),
-    /// The seed is text, but not a hexadecimal number.
+    /// The seed is a string, but not a hexadecimal number.
     #[error("configuration: seed: not a hexadecimal number: {value:?}")]
     InvalidSeed {
-        /// Its value.
+        /// The configured value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: std::num::ParseIntError,
     },
-    /// Too little memory to run in.
+    /// The memory limit is below the minimum.
     #[error("configuration: limits.memory_mb: at least {minimum_mb} are needed")]
     TooLittleMemory {
-        /// What is needed.
+        /// The minimum, in MB.
         minimum_mb: usize,
     },
 }
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,18 +1,18 @@
-//! The machine's limits.
+//! Resource limits of the machine.
 
 use super::ConfigError;
 use serde::Deserialize;
 
-/// The least memory that the router runs in.
+/// The least memory that the router can run with.
 const MIN_MEMORY_MB: usize = 32;
 
-/// The machine's limits.
+/// Resource limits of the machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in MB, beyond which the machine kills the router.
+    /// Memory limit in MB; the machine kills a router that exceeds it.
     pub memory_mb: usize,
-    /// File descriptors, sockets to clients and to workers included.
+    /// Limit on open file descriptors, sockets to clients and workers included.
     pub sockets: usize,
 }
 
@@ -26,7 +26,7 @@
     /// Checks that the router can run within the limits.
     ///
     /// # Errors
-    /// There is too little memory.
+    /// The memory limit is below the minimum.
     pub(super) fn validate(&self) -> Result<(), ConfigError> {
         if self.memory_mb < MIN_MEMORY_MB {
             return Err(ConfigError::TooLittleMemory { minimum_mb: MIN_MEMORY_MB });
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The router's configuration: the platform's JSON, or an operator's TOML file of the same shape.
+//! The router's configuration, read from the platform's JSON or from an operator's TOML file of the same
+//! structure.
 
 mod error;
 mod limits;
@@ -15,51 +16,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A router's configuration, validated.
+/// The validated configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The router's name.
+    /// The name of the router.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the router listens for clients.
     pub listen: SocketAddr,
-    /// The discovery agent; without one, the known endpoints stay in force.
+    /// The address of the discovery agent; without one, the initial endpoints stay in force.
     pub discovery: Option<SocketAddr>,
-    /// Seed of random numbers.
+    /// The seed of the router's random numbers.
     pub seed: u64,
-    /// The machine's limits.
+    /// The resource limits of the machine.
     pub limits: Limits,
-    /// The endpoint list as the writer of the configuration last had it; it may be stale.
+    /// The endpoint list that was current when the configuration was written; it may be stale.
     pub initial_endpoints: EndpointUpdate,
     /// The policy's settings.
     pub settings: Settings,
-    /// When workers close idle connections.
+    /// How long workers keep idle connections open.
     pub idle_connection_timeout: Duration,
     /// The JSON-RPC frontend for tool calls, if configured.
     pub tools: Option<ToolSettings>,
 }
 
 impl Config {
-    /// Reads the platform's form. Environment variables stand in for absent fields.
+    /// Parses the platform's JSON. Absent fields are taken from environment variables.
     ///
     /// # Errors
-    /// What is wrong with the text, with the field at fault.
+    /// The text is not valid; the error names the field.
     pub fn from_json(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let value: serde_json::Value = serde_json::from_str(text)?;
         let raw: RawConfig = serde_json::from_value(value)?;
         raw.validate(env)
     }
 
-    /// Reads an operator's file: the same shape, written as TOML. The environment plays no part.
+    /// Parses an operator's file: the same structure, in TOML. Environment variables are not used.
     ///
     /// # Errors
-    /// What is wrong with the text, with the line or the field at fault.
+    /// The text is not valid; the error names the line or the field.
     pub fn from_toml(text: &str) -> Result<Self, ConfigError> {
         let value: serde_json::Value = toml::from_str(text).map_err(|error| toml_error(text, error))?;
         let raw: RawConfig = serde_json::from_value(value)?;
         raw.validate(|_| None)
     }
 
-    /// The fields in which another configuration differs and that take effect at a start only.
+    /// The changed fields of another configuration that a reload can't apply: they take effect at a restart
+    /// only.
     pub fn changes_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let settings_differ =
             self.settings != other.settings || self.idle_connection_timeout != other.idle_connection_timeout;
@@ -74,11 +76,11 @@
     }
 }
 
-/// The parser's own text spans several lines and quotes the file; operators get one line.
+/// Reduces a parser error to one line for operators: its own text spans several lines and quotes the file.
 fn toml_error(text: &str, error: toml::de::Error) -> ConfigError {
-    let line_of = |offset: usize| text[..offset.min(text.len())].lines().count().max(1);
+    let line_at = |offset: usize| text[..offset.min(text.len())].lines().count().max(1);
     ConfigError::Toml {
-        line: error.span().map_or(0, |span| line_of(span.start)),
+        line: error.span().map_or(0, |span| line_at(span.start)),
         message: error.message().replace('\n', " "),
         source: Box::new(error),
     }
--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -1,4 +1,4 @@
-//! The configuration as it is written, before validation.
+//! The configuration as deserialized, before validation.
 
 use super::{Config, ConfigError, Limits, ToolSettings};
 use crate::net::discovery::{EndpointUpdate, ListMessage};
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The configuration as it is written.
+/// The configuration as deserialized. The field names are the keys of the files.
 #[derive(Deserialize)]
 pub(super) struct RawConfig {
     #[serde(default)]
@@ -24,7 +24,7 @@
 }
 
 impl RawConfig {
-    /// Validates the configuration and fills in what it leaves to the environment.
+    /// Validates the configuration and takes absent fields from environment variables.
     pub fn validate(self, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let listen = address_or_variable(self.listen, "NODE_LISTEN", &env)?
             .ok_or(ConfigError::MissingListenAddress)?;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The configured address, else that of an environment variable.
+/// The configured address, else the value of an environment variable.
 fn address_or_variable(
     configured: Option<SocketAddr>,
     variable: &'static str,
@@ -63,7 +63,7 @@
     }
 }
 
-/// A seed is a number or a text of hexadecimal digits. Anything else counts as 0, as does none.
+/// Parses a seed: a number, or a string of hexadecimal digits. Any other value, or none, counts as 0.
 fn parse_seed(seed: &Value) -> Result<u64, ConfigError> {
     match seed {
         Value::String(digits) => u64::from_str_radix(digits, 16)
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of what a configuration may say, and of the texts that operators read when it can't be used.
+//! Tests of parsing and validating configurations, and of the error texts for operators.
 
 use super::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// The least that a configuration has to say.
-fn minimal() -> Value {
+/// A configuration with the required fields only.
+fn minimal_config() -> Value {
     json!({
         "name": "edge",
         "listen": "127.0.0.1:1",
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn what_is_not_stated_has_its_default() {
-    let config = from_json(&minimal()).unwrap();
+fn absent_fields_have_their_defaults() {
+    let config = from_json(&minimal_config()).unwrap();
     assert_eq!(config.seed, 255);
     assert_eq!(config.limits, Limits { memory_mb: 192, sockets: 1024 });
     assert_eq!(config.idle_connection_timeout, Duration::from_secs(30));
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn the_environment_stands_in_for_absent_fields() {
-    let mut value = minimal();
+fn absent_fields_are_taken_from_the_environment() {
+    let mut value = minimal_config();
     (value["listen"], value["name"]) = (Value::Null, json!(""));
     let env = |variable: &str| match variable {
         "NODE_LISTEN" => Some("127.0.0.1:2".to_owned()),
@@ -57,30 +57,38 @@
     json!("many"),
     r#"INIT: field permissions.max_attempts has the value "many""#
 )]
-#[case::word("/settings/classes/0/effect", json!("none"), r#"INIT: field classes.0.effect has the value "none""#)]
-fn an_error_names_the_key_and_its_value(#[case] pointer: &str, #[case] wrong: Value, #[case] text: &str) {
-    let mut value = minimal();
-    *value.pointer_mut(pointer).unwrap() = wrong;
+#[case::enumeration(
+    "/settings/classes/0/effect",
+    json!("none"),
+    r#"INIT: field classes.0.effect has the value "none""#
+)]
+fn an_error_names_the_key_and_its_invalid_value(
+    #[case] pointer: &str,
+    #[case] invalid: Value,
+    #[case] text: &str,
+) {
+    let mut value = minimal_config();
+    *value.pointer_mut(pointer).unwrap() = invalid;
     let error = from_json(&value).unwrap_err();
     assert_eq!(error.to_string(), format!("configuration: {text}"));
 }
 
 #[test]
 fn too_little_memory_is_an_error() {
-    let mut value = minimal();
+    let mut value = minimal_config();
     value["limits"] = json!({"memory_mb": 31});
     let error = from_json(&value).unwrap_err();
     assert_eq!(error.to_string(), "configuration: limits.memory_mb: at least 32 are needed");
 }
 
 #[test]
-fn a_variable_that_is_no_address_is_named() {
-    let error = Config::from_json(&minimal().to_string(), |_| Some("nowhere".into())).unwrap_err();
+fn an_invalid_address_in_a_variable_is_reported_with_its_name() {
+    let error = Config::from_json(&minimal_config().to_string(), |_| Some("nowhere".into())).unwrap_err();
     assert_eq!(error.to_string(), r#"configuration: NODE_DISCOVERY: not an address: "nowhere""#);
 }
 
 #[test]
-fn an_error_in_toml_is_one_line_with_its_number() {
+fn a_toml_error_is_one_line_with_its_line_number() {
     let error = Config::from_toml("name = \"a\"\nlisten = \n").unwrap_err();
     let text = error.to_string();
     assert!(text.starts_with("configuration: line 2: ") && !text.contains('\n'), "{text}");
@@ -88,8 +96,8 @@
 
 #[test]
 fn changes_that_require_a_restart_are_listed_by_field() {
-    let config = from_json(&minimal()).unwrap();
-    let mut value = minimal();
+    let config = from_json(&minimal_config()).unwrap();
+    let mut value = minimal_config();
     value["discovery"] = json!("127.0.0.1:4");
     assert!(config.changes_requiring_restart(&from_json(&value).unwrap()).is_empty());
     value["settings"]["permissions"]["idle_close_us"] = json!(1_000_000);
--- a/src/config/tools.rs
+++ b/src/config/tools.rs
@@ -4,53 +4,54 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The JSON-RPC frontend for tool calls. Only an operator's file has one: the platform never switches it on.
+/// Settings of the JSON-RPC frontend for tool calls. Only operators' files configure it, the platform never
+/// does.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ToolSettings {
-    /// Where the tool server listens.
+    /// The address of the tool server.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// The path of its JSON-RPC endpoint.
-    #[serde(default = "default::path")]
+    /// The path of the tool server's JSON-RPC endpoint.
+    #[serde(default = "defaults::path")]
     pub path: String,
-    /// The path at which clients reach the frontend.
-    #[serde(default = "default::listen_path")]
+    /// The path of the frontend on the router's listener.
+    #[serde(default = "defaults::listen_path")]
     pub listen_path: String,
-    /// How long a tool call may take, in milliseconds; see [`ToolSettings::call_timeout`].
-    #[serde(default = "default::call_timeout_ms")]
+    /// The timeout of a tool call in milliseconds; see [`ToolSettings::call_timeout`].
+    #[serde(default = "defaults::call_timeout_ms")]
     pub call_timeout_ms: u64,
-    /// The longest arguments of a call, in bytes.
-    #[serde(default = "default::max_message_bytes")]
+    /// The maximum size of a call's arguments, in bytes.
+    #[serde(default = "defaults::max_message_bytes")]
     pub max_call_bytes: usize,
-    /// The longest result of a call, in bytes.
-    #[serde(default = "default::max_message_bytes")]
+    /// The maximum size of a call's result, in bytes.
+    #[serde(default = "defaults::max_message_bytes")]
     pub max_result_bytes: usize,
-    /// Most tool calls of one request.
-    #[serde(rename = "max_calls", default = "default::max_calls_per_request")]
+    /// The maximum number of tool calls per request.
+    #[serde(rename = "max_calls", default = "defaults::max_calls_per_request")]
     pub max_calls_per_request: u32,
-    /// Most tool calls in flight at once, over all requests: the sockets to the tool server.
-    #[serde(rename = "max_calls_at_once", default = "default::max_concurrent_calls")]
+    /// The maximum number of tool calls in flight over all requests; each has a socket to the tool server.
+    #[serde(rename = "max_calls_at_once", default = "defaults::max_concurrent_calls")]
     pub max_concurrent_calls: usize,
-    /// How long results are kept for replay after their calls have ended, in seconds.
-    #[serde(rename = "remember_s", default = "default::retention_s")]
+    /// How long the result of a call is kept for replay after the call has ended, in seconds.
+    #[serde(rename = "remember_s", default = "defaults::retention_s")]
     pub retention_s: u64,
-    /// Most results that are kept for replay.
-    #[serde(rename = "max_entries", default = "default::max_replay_entries")]
+    /// The maximum number of results kept for replay.
+    #[serde(rename = "max_entries", default = "defaults::max_replay_entries")]
     pub max_replay_entries: usize,
-    /// Most bytes that results kept for replay may take.
-    #[serde(rename = "max_ledger_bytes", default = "default::max_replay_bytes")]
+    /// The maximum total size of the results kept for replay, in bytes.
+    #[serde(rename = "max_ledger_bytes", default = "defaults::max_replay_bytes")]
     pub max_replay_bytes: usize,
 }
 
 impl ToolSettings {
-    /// How long a tool call may take, connecting included.
+    /// The timeout of a tool call, connection establishment included.
     pub fn call_timeout(&self) -> Duration {
         Duration::from_millis(self.call_timeout_ms)
     }
 }
 
-/// Values of what a file does not state.
-mod default {
+/// Default values of absent fields.
+mod defaults {
     pub fn path() -> String {
         "/".into()
     }
