--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! Runs the routing policy for the simulator: events on standard input, actions on standard output.
+//! Runs the routing policy for the simulator: reads events from standard input, writes actions to standard
+//! output.
 
 use std::process::ExitCode;
 
--- a/src/simulator/endpoints.rs
+++ b/src/simulator/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: a message that announces them, and a line for each endpoint.
+//! Parses endpoint lists: a header message, followed by one line per endpoint.
 
 use super::error::{LineError, WireError};
 use super::fields::Fields;
@@ -6,14 +6,14 @@
 use crate::interface::{Endpoint, UpdateKind, WorkerStatus};
 use std::io::BufRead;
 
-/// What precedes the lines of the endpoints.
+/// The message that precedes the lines of the endpoints.
 pub(super) struct EndpointListHeader {
     pub kind: UpdateKind,
     pub count: u64,
 }
 
 impl EndpointListHeader {
-    /// Reads the fields after the router's number.
+    /// Parses the fields after the router's number.
     pub fn parse(fields: &mut Fields<'_>) -> Result<Self, LineError> {
         let kind = match fields.text("kind")? {
             "INCREMENTAL" => UpdateKind::Delta,
@@ -22,13 +22,13 @@
             "FAILED" => UpdateKind::Unavailable,
             other => return Err(fields.invalid("kind", other)),
         };
-        // The version is checked and not used: the simulator delivers updates in their order.
+        // The version is validated but not used: the simulator delivers updates in order.
         fields.optional::<i64>("version")?;
         let count = fields.optional("members")?.unwrap_or(0);
         Ok(EndpointListHeader { kind, count })
     }
 
-    /// Reads the announced endpoints from the lines that follow.
+    /// Reads the announced number of endpoints from the lines that follow.
     pub fn read_endpoints(&self, lines: &mut LineReader<impl BufRead>) -> Result<Vec<Endpoint>, WireError> {
         let mut endpoints = Vec::new();
         for _ in 0..self.count {
@@ -43,9 +43,9 @@
 fn parse_endpoint(line: &str) -> Result<Endpoint, LineError> {
     let mut fields = Fields::new(line);
     if fields.text("message")? != "ENTRY" {
-        return Err(LineError::NotAnEndpoint { found: fields.message().to_owned() });
+        return Err(LineError::ExpectedEndpoint { found: fields.message().to_owned() });
     }
-    // The fields come in this order on the wire.
+    // The initializers parse the fields in the order of the wire.
     Ok(Endpoint {
         worker: fields.worker()?,
         zone: fields.text("campus")?.to_owned(),
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,18 +1,18 @@
-//! Why the wire can't be served.
+//! Errors of the simulator's wire.
 
 use crate::wire_format::SettingsError;
 use std::io;
 use std::string::FromUtf8Error;
 
-/// Why serving the wire stopped.
+/// Why the adapter stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A line that the wire does not allow.
+    /// The input has a malformed line.
     #[error("line {line}: {error}")]
     Malformed {
-        /// Its number, from 1.
+        /// The number of the line, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// The error in the line.
         #[source]
         error: LineError,
     },
@@ -21,63 +21,63 @@
     Io(#[from] io::Error),
 }
 
-/// What is wrong with a line.
+/// Why a line is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It is not text.
+    /// The line is not valid UTF-8.
     #[error("not UTF-8: {0}")]
     NotUtf8(#[source] FromUtf8Error),
-    /// It ends before a field that its message has.
+    /// The line ends before a field of its message.
     #[error("{message}: field {field} is missing")]
     MissingField {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
     },
-    /// A field has a value that the wire does not allow.
+    /// A field has an invalid value.
     #[error("{message}: field {field} has the value {value:?}")]
     InvalidField {
-        /// The message.
+        /// The name of the message.
         message: String,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// A message to a router that was never started or has been shut down.
-    #[error("{message}: field router has the value \"{router}\", an instance that is not known")]
-    UnknownInstance {
-        /// The message.
+    /// The message is addressed to a router that was never started or has been shut down.
+    #[error("{message}: field router has the value \"{router}\", which is not a running router")]
+    UnknownRouter {
+        /// The name of the message.
         message: String,
         /// The router's number.
         router: u32,
     },
-    /// A message that the wire does not have.
+    /// The message is not part of the protocol.
     #[error("unknown message {message:?}")]
     UnknownMessage {
-        /// The message.
+        /// The name of the message.
         message: String,
     },
-    /// A line between batches that does not begin one.
+    /// A line between two batches does not start a batch.
     #[error("message: expected TICK, found {found:?}")]
-    NotABatchStart {
-        /// The message found.
+    ExpectedBatchStart {
+        /// The name of the message found instead.
         found: String,
     },
-    /// A line that should be one of the endpoints that a membership message has announced.
+    /// A line is not one of the endpoints that a membership message announced.
     #[error("expected ENTRY, found {found:?}")]
-    NotAnEndpoint {
-        /// The message found.
+    ExpectedEndpoint {
+        /// The name of the message found instead.
         found: String,
     },
     /// The input ended inside a batch.
     #[error("end of input inside a batch: {missing} missing")]
     IncompleteBatch {
-        /// The message that was to come.
+        /// The message that was expected.
         missing: &'static str,
     },
-    /// A router's settings can't be used.
+    /// The settings of a router are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -1,18 +1,18 @@
-//! Events as the simulator writes them, one a line.
+//! Parses events from the simulator's wire format, one per line.
 
 use super::error::LineError;
 use super::fields::Fields;
 use crate::interface::{AttemptEnd, AttemptIndex, Event, Outcome, RequestId, RequestSpec, TimerId};
 use std::sync::Arc;
 
-/// The bit of a request's attributes that says that its estimate of decode time is given.
-const HAS_DECODE_TIME: u64 = 1;
-/// What the wire writes for no tenant and for no prefix, beside a dash.
-const NONE: &str = "0";
+/// The bit of a request's attributes that is set if the request carries an estimate of its decode time.
+const DECODE_TIME_BIT: u64 = 1;
+/// The value of an absent tenant or prefix, besides a dash.
+const ABSENT: &str = "0";
 
-/// Reads an event from the fields after the router's number.
+/// Parses an event from the fields after the router's number.
 ///
-/// Lists of endpoints take several lines and are read by [`EndpointListHeader`](super::endpoints::EndpointListHeader).
+/// Endpoint lists span several lines; see [`EndpointListHeader`](super::endpoints::EndpointListHeader).
 pub(super) fn parse_event(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     match fields.message() {
         "ASK" => parse_request(fields).map(Event::RequestReceived),
@@ -42,15 +42,15 @@
     let request = parse_request_id(fields)?;
     let deadline = fields.required("client_deadline_us")?;
     let session = fields.optional_text("session_id")?.map(Arc::from);
-    let tenant = fields.optional_text("project")?.filter(|tenant| *tenant != NONE).map(String::from);
+    let tenant = fields.optional_text("project")?.filter(|tenant| *tenant != ABSENT).map(String::from);
     let decode_time = fields.optional::<f64>("work_hint_us")?.map(|micros| micros as u64);
     let max_tokens = fields.token_count("max_tokens")?;
     let prompt_tokens = fields.token_count("prompt_tokens")?;
     let prefix_tokens = fields.token_count("n_prefix")?;
-    let prefix = fields.optional_text("system_prompt")?.filter(|prefix| *prefix != NONE).map(Arc::from);
+    let prefix = fields.optional_text("system_prompt")?.filter(|prefix| *prefix != ABSENT).map(Arc::from);
     let class = fields.text("priority")?.to_owned();
     let attributes: u64 = fields.optional("attrs")?.unwrap_or(0);
-    let decode_time_given = attributes & HAS_DECODE_TIME != 0;
+    let has_decode_time = attributes & DECODE_TIME_BIT != 0;
     Ok(RequestSpec {
         request,
         deadline,
@@ -59,7 +59,7 @@
         prefix_tokens,
         prompt_tokens,
         max_tokens,
-        expected_decode_time: decode_time.filter(|micros| decode_time_given && *micros > 0),
+        expected_decode_time: decode_time.filter(|micros| has_decode_time && *micros > 0),
         class,
         tenant,
     })
@@ -73,7 +73,8 @@
     Ok(Event::StreamStarted { request, attempt, elapsed })
 }
 
-/// The attempt is skipped. The kind is 1 where the slot was reserved, and any other number where it was not.
+/// Parses the answer to a reservation: the kind is 1 if the slot was reserved, else any other number. The
+/// attempt index is skipped.
 fn parse_slot_reserved(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let request = parse_request_id(fields)?;
     fields.text("hop")?;
@@ -90,7 +91,7 @@
     let elapsed = fields.optional("spent_us")?.unwrap_or(0);
     let request_finished = fields.flag("settled")?;
     let cached_tokens = fields.token_count("detail")?;
-    // With a rejection the same field says whether the worker found no KV cache to fetch.
+    // In a rejection, the same field is 1 if the worker found no KV cache to fetch.
     let outcome = match outcome {
         Outcome::Rejected if cached_tokens == 1 => Outcome::CacheMissing,
         other => other,
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! The hosted policies, one for each simulated router.
+//! Hosts one policy per simulated router.
 
 use super::actions::{write_action, write_panic};
 use super::endpoints::EndpointListHeader;
@@ -14,18 +14,19 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Hands each message to the policy of its router and writes what comes of it.
+/// Dispatches each message to the policy of its router and writes the resulting actions.
 pub(super) struct PolicyHost<W> {
     policies: BTreeMap<u32, Policy>,
     output: W,
 }
 
-/// What a message says to its router.
+/// A parsed message to a router.
 enum Command {
+    /// Starts the router, or restarts it with a new policy.
     Start(Box<Policy>),
     Shutdown,
     Event(Event),
-    /// The endpoints themselves follow on lines of their own.
+    /// An update of the endpoint list. The endpoints follow on separate lines.
     EndpointList(EndpointListHeader),
 }
 
@@ -34,7 +35,7 @@
         PolicyHost { policies: BTreeMap::new(), output }
     }
 
-    /// Processes the current line, and those that belong to it.
+    /// Processes the message in the current line, including the lines of the endpoints that belong to it.
     pub fn process_line<R: BufRead>(
         &mut self,
         now: Micros,
@@ -60,24 +61,24 @@
         Ok(self.handle_event(router, now, event)?)
     }
 
-    /// Tells the simulator that a batch has been processed.
+    /// Confirms to the simulator that a batch has been processed.
     pub fn acknowledge_batch(&mut self) -> io::Result<()> {
         self.output.write_all(b"OK\n")?;
         self.output.flush()
     }
 
-    /// Parses a message. The routers that it may name are those that were started, unless it starts one.
+    /// Parses a message. Unless it starts a router, it must be addressed to a running one.
     fn parse_command(&self, line: &str) -> Result<(u32, Command), LineError> {
         let mut fields = Fields::new(line);
         let message = fields.text("message")?;
         let router: u32 = fields.required("router")?;
         if message == "INIT" {
             let seed = fields.required("nonce64")?;
-            let settings = parse_settings(fields.into_assignments())?;
+            let settings = parse_settings(fields.into_key_value_pairs())?;
             return Ok((router, Command::Start(Box::new(Policy::new(settings, seed)))));
         }
         if !self.policies.contains_key(&router) {
-            return Err(LineError::UnknownInstance { message: message.to_owned(), router });
+            return Err(LineError::UnknownRouter { message: message.to_owned(), router });
         }
         let command = match message {
             "SHUTDOWN" => Command::Shutdown,
@@ -87,19 +88,20 @@
         Ok((router, command))
     }
 
-    /// A policy that panics is reported and kept. Its actions of this event are lost; the simulator may restart it.
+    /// Passes an event to a policy and writes its actions. A panic is reported and the policy kept, without
+    /// its actions of this event; the simulator may restart the router.
     fn handle_event(&mut self, router: u32, now: Micros, event: Event) -> io::Result<()> {
         let Some(policy) = self.policies.get_mut(&router) else { return Ok(()) };
         let mut actions = Vec::new();
         match catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, &mut actions))) {
             Ok(()) => actions.iter().try_for_each(|action| write_action(&mut self.output, router, action)),
-            Err(panic) => write_panic(&mut self.output, router, panic_text(&*panic)),
+            Err(panic) => write_panic(&mut self.output, router, panic_message(&*panic)),
         }
     }
 }
 
-/// The text of a panic, if it carries one.
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
+/// The message of a panic, or a placeholder if it has none.
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     if let Some(text) = panic.downcast_ref::<String>() {
         return text;
     }
--- a/src/simulator/lines.rs
+++ b/src/simulator/lines.rs
@@ -1,9 +1,9 @@
-//! The input, line by line.
+//! Reads the input line by line.
 
 use super::error::{LineError, WireError};
 use std::io::BufRead;
 
-/// Reads lines and numbers them.
+/// A reader that tracks the line number for error messages.
 pub(super) struct LineReader<R> {
     input: R,
     number: u64,
@@ -15,12 +15,12 @@
         LineReader { input, number: 0, text: String::new() }
     }
 
-    /// The line read last, without its end.
+    /// The last line read, without its line terminator.
     pub fn current(&self) -> &str {
         &self.text
     }
 
-    /// Reads the next line, and says whether there was one.
+    /// Reads the next line; false at the end of the input.
     pub fn advance(&mut self) -> Result<bool, WireError> {
         self.text.clear();
         let mut bytes = Vec::new();
@@ -35,12 +35,12 @@
         Ok(true)
     }
 
-    /// Reads the next line inside a batch, where the input may not end before `expected` has come.
+    /// Reads the next line inside a batch. An end of input is an error that names the `expected` message.
     pub fn advance_within_batch(&mut self, expected: &'static str) -> Result<(), WireError> {
         if self.advance()? {
             return Ok(());
         }
-        // The error names the line that is missing: the one after the last.
+        // The error refers to the missing line, which is the one after the last.
         self.number += 1;
         Err(self.malformed(LineError::IncompleteBatch { missing: expected }))
     }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's wire: reads batches of events, hosts one [`Policy`](crate::Policy) for each simulated router, and
-//! writes the actions.
+//! The simulator's adapter: reads batches of events, runs one [`Policy`](crate::Policy) per simulated router
+//! and writes the actions.
 //!
-//! Nothing is decided here, and the hosted instances share nothing.
+//! It makes no routing decisions, and the hosted policies share no state.
 
 mod actions;
 mod endpoints;
@@ -19,11 +19,11 @@
 use lines::LineReader;
 use std::io::{BufRead, BufWriter, Write};
 
-/// Serves the wire until the input ends.
+/// Processes batches until the input ends.
 ///
 /// # Errors
-/// [`WireError::Malformed`] at the first line that can't be understood, or at an end of input inside a batch;
-/// [`WireError::Io`] when reading or writing fails. Answers written before the error still reach the output.
+/// [`WireError::Malformed`] at the first malformed line, or at an end of input inside a batch;
+/// [`WireError::Io`] when reading or writing fails. Actions written before the error still reach the output.
 pub fn serve(input: impl BufRead, output: impl Write) -> Result<(), WireError> {
     let mut lines = LineReader::new(input);
     let mut host = PolicyHost::new(BufWriter::new(output));
@@ -39,11 +39,11 @@
     Ok(())
 }
 
-/// The time at which a batch's events happen.
+/// Parses the message that starts a batch; returns the time of the batch's events.
 fn parse_batch_start(line: &str) -> Result<Micros, LineError> {
     let mut fields = Fields::new(line);
     match fields.text("message")? {
         "TICK" => fields.required("clock_us"),
-        other => Err(LineError::NotABatchStart { found: other.to_owned() }),
+        other => Err(LineError::ExpectedBatchStart { found: other.to_owned() }),
     }
 }
