--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -43,7 +43,7 @@
         let id = request.spec.request;
         let mut eligible = eligible_workers(context, Role::Decode, request);
         eligible.extend(eligible_workers(context, Role::Unified, request));
-        let is_new = |worker: &&Worker| !request.was_decoded_at(&worker.id);
+        let is_new = |worker: &&Worker| !request.has_decode_attempt_at(&worker.id);
         if eligible.iter().any(is_new) {
             eligible.retain(is_new);
         }
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -51,7 +51,7 @@
             &attempt.worker,
             LatencyKind::FirstToken(attempt.distance),
             elapsed,
-            attempt.work,
+            attempt.work_tokens,
         );
     }
 
@@ -61,7 +61,7 @@
         match ended.outcome {
             Outcome::PrefillCompleted => self.prefill_completed(ended),
             // A stream was a success when it started; an answer without one is a success now.
-            Outcome::Completed if attempt.started_at.is_none() => self.record_success(&attempt.worker),
+            Outcome::Completed if attempt.stream_started_at.is_none() => self.record_success(&attempt.worker),
             Outcome::Rejected => {
                 let until = self.now + REJECTION_PERIOD;
                 if let Some(worker) = self.membership.activity_mut(&attempt.worker) {
@@ -84,16 +84,16 @@
         self.timeout_backoff.record_success(Stage::Prefill);
         self.latency.record_uncached_tokens(*uncached_tokens);
         self.record_success(&attempt.worker);
-        let work = attempt.work - attempt.tokens + uncached_tokens;
+        let work = attempt.work_tokens - attempt.tokens + uncached_tokens;
         self.record_latency(&attempt.worker, LatencyKind::Prefill, ended.elapsed, work);
     }
 
     fn timed_out(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { attempt, elapsed, .. } = ended;
-        self.timeout_backoff.record_timeout(attempt.stage, attempt.started_at.is_some());
+        self.timeout_backoff.record_timeout(attempt.stage, attempt.stream_started_at.is_some());
         // It would have taken at least this long: else timeouts under load would cause more timeouts.
         let kind = LatencyKind::of(attempt.stage, attempt.distance);
-        self.record_latency(&attempt.worker, kind, *elapsed, attempt.work);
+        self.record_latency(&attempt.worker, kind, *elapsed, attempt.work_tokens);
         self.record_failure(attempt);
         match attempt.stage {
             Stage::Decode => self.decode_timeouts.record(attempt.distance, self.now),
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -1,26 +1,27 @@
-//! The life of a request: how it moves from one phase to the next, until it ends.
+//! The life cycle of requests: the transitions between their phases.
 //!
-//! The methods here are the only ones that send attempts and that end requests. The decisions themselves are
-//! made in `admission`, `decode_choice`, `attempt_plan` and `final_answer`.
+//! Only the methods of this module send attempts and close requests. The decisions themselves are made in
+//! `admission`, `decode_choice`, `attempt_plan` and `local_reply`.
 
 use super::Policy;
 use super::admission::{self, Admission, PlannedStage, Route};
 use super::attempt_plan::AttemptPlan;
 use super::decode_choice::DecodeChooser;
 use super::feedback::EndedAttempt;
-use super::final_answer::{end_reason, final_answer};
 use super::load_view::ReportNeed;
-use super::request::{CacheHold, Request, RequestPhase};
+use super::local_reply::{end_reason, local_reply};
+use super::request::{HeldCache, Request, RequestPhase};
 use super::sweep::sweep_margin;
 use crate::interface::*;
 
-/// Which requests to advance.
+/// The requests that [`Policy::advance_all`] advances.
 #[derive(Clone, Copy)]
 pub(super) enum AdvanceScope {
-    /// Those without an attempt in flight.
-    Waiting,
-    /// All without an answer: attempts in flight may be overdue, too.
-    Unanswered,
+    /// Open requests without an attempt in flight.
+    WithoutAttempt,
+    /// Open requests whose response has not started, including those past their deadline with an attempt in
+    /// flight.
+    WithoutResponse,
 }
 
 impl AdvanceScope {
@@ -28,28 +29,28 @@
         match phase {
             RequestPhase::Queued | RequestPhase::AwaitingDecode { .. } => true,
             RequestPhase::Prefilling | RequestPhase::DecodeRequested { .. } => {
-                matches!(self, AdvanceScope::Unanswered)
+                matches!(self, AdvanceScope::WithoutResponse)
             }
-            RequestPhase::Streaming | RequestPhase::Answered => false,
+            RequestPhase::Streaming | RequestPhase::Closed => false,
         }
     }
 }
 
-/// Whether enough is known of a worker's load to send it a prefill.
+/// Whether a prefill has to wait for a load report of its worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LoadKnowledge {
-    /// It is, or no more can be learned.
-    Sufficient,
-    /// A report is awaited.
-    Awaited,
+enum LoadReportStatus {
+    /// The load is known, or no report can be requested.
+    NotNeeded,
+    /// A report was requested and has not arrived yet.
+    Pending,
 }
 
 impl Policy {
-    /// Takes a new request in.
+    /// Adds a new request, and starts it if possible.
     pub(super) fn request_received(&mut self, spec: RequestSpec, out: &mut Vec<Action>) {
         let id = spec.request;
         let classes = &self.settings.classes;
-        // A class that the settings don't name is the last one: see `new`.
+        // `Policy::new` appends the class for requests whose class is not configured.
         let class_index = classes.iter().position(|c| c.name == spec.class).unwrap_or(classes.len() - 1);
         let quota = self.quotas.charge(spec.tenant.as_deref(), self.now);
         self.latency.record_prompt(spec.prompt_tokens);
@@ -57,59 +58,59 @@
         self.advance(id, out);
     }
 
-    /// Advances requests in the order of their priority; those whose KV cache is held go first.
+    /// Advances requests by descending priority, after those whose KV cache is held at a prefill worker.
     pub(super) fn advance_all(&mut self, scope: AdvanceScope, out: &mut Vec<Action>) {
         let context = self.context();
-        let order = |request: &Request| match request.phase() {
+        let rank = |request: &Request| match request.phase() {
             RequestPhase::AwaitingDecode { .. } => f64::MAX,
             _ => context.priority(request),
         };
         let mut requests: Vec<(RequestId, f64)> = (self.requests.iter())
             .filter(|(_, request)| scope.includes(request.phase()))
-            .map(|(id, request)| (id, order(request)))
+            .map(|(id, request)| (id, rank(request)))
             .collect();
-        requests.sort_by(|(a, a_order), (b, b_order)| b_order.total_cmp(a_order).then(a.cmp(b)));
+        requests.sort_by(|(a, a_rank), (b, b_rank)| b_rank.total_cmp(a_rank).then(a.cmp(b)));
         for (id, _) in requests {
             self.advance(id, out);
         }
     }
 
-    /// Takes a request as far as it can go now.
+    /// Ends a request that has to end now; otherwise tries to send its next attempt if none is in flight.
     fn advance(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if let Some(reason) = end_reason(self.context(), request) {
-            self.finish(id, reason, out);
+            self.reply_locally(id, reason, out);
             return;
         }
         match request.phase() {
-            RequestPhase::Queued => self.start(id, out),
+            RequestPhase::Queued => self.admit(id, out),
             RequestPhase::AwaitingDecode { cache } => {
                 let cache = cache.clone();
-                self.request_decode(id, &cache, out);
+                self.send_decode(id, &cache, out);
             }
             _ => {}
         }
     }
 
-    /// Starts a queued request, leaves it in the queue or rejects it.
-    fn start(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Starts a queued request, keeps it in the queue or rejects it.
+    fn admit(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(route) = Route::choose(self.context(), request) else { return };
         let is_prefill = matches!(route.stage, PlannedStage::Prefill { .. });
-        if is_prefill && self.request_load_report(&route.worker, id, out) == LoadKnowledge::Awaited {
+        if is_prefill && self.request_load_report(&route.worker, id, out) == LoadReportStatus::Pending {
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
         match admission::decide(self.context(), request, &route) {
             Admission::Start => self.send(id, &route.worker, route.stage, out),
-            Admission::Reject(reason) => self.finish(id, reason, out),
+            Admission::Reject(reason) => self.reply_locally(id, reason, out),
             Admission::Wait => {}
         }
     }
 
-    /// Sends a request whose KV cache is held to a decode worker, or releases the cache and queues the
-    /// request again when the hold limit is near.
-    fn request_decode(&mut self, id: RequestId, cache: &CacheHold, out: &mut Vec<Action>) {
+    /// Sends a request whose KV cache is held to a decode worker. If the hold limit is near, releases the
+    /// cache and queues the request again instead.
+    fn send_decode(&mut self, id: RequestId, cache: &HeldCache, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let margin = sweep_margin(&self.settings) + self.settings.event_interval;
         let release_at = cache.idle_since + self.settings.cache_hold_limit.saturating_sub(margin);
@@ -123,36 +124,38 @@
         }
     }
 
-    /// Where health checks bring load reports, requests the chosen worker's load before a prefill, unless it
-    /// is known already. Guards against queues that no router sees; harms where health checks cost much.
+    /// Sends a health check to a prefill worker whose load is not known, if health checks return load
+    /// reports.
+    ///
+    /// This reveals queues that no router sees, at the cost of the health checks and of the wait for them.
     fn request_load_report(
         &mut self,
         worker_id: &WorkerId,
         id: RequestId,
         out: &mut Vec<Action>,
-    ) -> LoadKnowledge {
-        let reports_on_request =
+    ) -> LoadReportStatus {
+        let health_checks_report_load =
             self.settings.health_checks_allowed && self.settings.load_reporting != LoadReporting::None;
-        let Some(worker) = self.membership.activity_mut(worker_id).filter(|_| reports_on_request) else {
-            return LoadKnowledge::Sufficient;
+        let Some(worker) = self.membership.activity_mut(worker_id).filter(|_| health_checks_report_load)
+        else {
+            return LoadReportStatus::NotNeeded;
         };
         let fresh_since = self.now.saturating_sub(self.settings.connect_timeout);
         match worker.load.report_need(self.now, fresh_since) {
-            ReportNeed::Satisfied => return LoadKnowledge::Sufficient,
-            ReportNeed::Pending => return LoadKnowledge::Awaited,
+            ReportNeed::Satisfied => return LoadReportStatus::NotNeeded,
+            ReportNeed::Pending => return LoadReportStatus::Pending,
             ReportNeed::Missing => {}
         }
         let request = self.requests.get_mut(id);
         if request.is_none_or(|request| request.take_health_check().is_none()) {
-            return LoadKnowledge::Sufficient;
+            return LoadReportStatus::NotNeeded;
         }
         worker.load.health_check_sent(self.now);
         out.push(Action::CheckHealth { worker: worker_id.clone() });
-        LoadKnowledge::Awaited
+        LoadReportStatus::Pending
     }
 
-    /// Sends a request to a worker if every rule allows it. Everything that goes to a worker goes through
-    /// here.
+    /// Sends an attempt to a worker if [`AttemptPlan`] allows it. All attempts are sent here.
     fn send(&mut self, id: RequestId, worker_id: &WorkerId, stage: PlannedStage, out: &mut Vec<Action>) {
         let Some(plan) = AttemptPlan::new(self.context(), id, worker_id, stage) else { return };
         let AttemptPlan { attempt, timeout, deduplication_deadline } = plan;
@@ -168,7 +171,7 @@
             worker.slow_start.spend();
         }
         if stage == Stage::Prefill {
-            self.gossip(worker_id, tokens, out);
+            self.gossip_queue_change(worker_id, tokens, out);
         }
         out.push(Action::Send {
             request: id,
@@ -179,7 +182,7 @@
         });
     }
 
-    /// Records that an attempt's stream has started.
+    /// Records that an attempt's response stream has started.
     pub(super) fn stream_started(&mut self, id: RequestId, index: AttemptIndex, elapsed: Micros) {
         let now = self.now;
         let request = self.requests.get_mut(id);
@@ -196,40 +199,42 @@
         if let Some(worker) = self.membership.activity_mut(&attempt.worker) {
             worker.in_flight.remove(&(id, end.attempt));
         }
-        let is_over = end.request_finished || matches!(request.phase(), RequestPhase::Answered);
-        if is_over && outcome != Outcome::Completed {
-            // Whatever the attempt left behind is released, also by a cancelled or a late prefill.
+        let is_closing = end.request_finished || matches!(request.phase(), RequestPhase::Closed);
+        if is_closing && outcome != Outcome::Completed {
+            // The attempt may have left a KV cache or a slot behind, even if it was cancelled or late.
             request.assume_cache_at(attempt.worker.clone(), self.now);
         }
         let uncached_tokens = request.spec.prompt_tokens.saturating_sub(end.cached_tokens) as f64;
         let traffic = request.traffic_key();
         self.record_load_report(&attempt.worker, end.report);
         if attempt.stage == Stage::Prefill {
-            self.gossip(&attempt.worker, -attempt.tokens, out);
-            // It may have completed just as it was given up or broke: what it left is held like any KV cache.
+            self.gossip_queue_change(&attempt.worker, -attempt.tokens, out);
+            // The prefill may have completed just as it timed out or its connection broke, and left a KV
+            // cache.
             if !outcome.had_no_effect() {
                 out.push(Action::ReleaseCache { request: id });
             }
         }
         let ended = EndedAttempt { attempt, outcome, elapsed: end.elapsed, uncached_tokens, traffic };
         self.feedback().attempt_ended(&ended);
-        if is_over {
+        if is_closing {
             self.close(id, out);
         } else {
             self.advance(id, out);
         }
     }
 
-    /// Gives a request its final answer, unless its answer has started. No other place ends requests.
-    fn finish(&mut self, id: RequestId, reason: EndReason, out: &mut Vec<Action>) {
+    /// Rejects or fails a request and closes it, unless its response has started. All local replies are sent
+    /// here.
+    fn reply_locally(&mut self, id: RequestId, reason: EndReason, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        if !request.phase().is_answer_started() {
-            out.push(final_answer(self.context(), request, reason));
+        if !request.phase().is_streaming_or_closed() {
+            out.push(local_reply(self.context(), request, reason));
             self.close(id, out);
         }
     }
 
-    /// Closes a request that has its final answer or whose client has left.
+    /// Closes a request that has its final response or whose client has disconnected.
     pub(super) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.requests.close(id, self.settings.cancellation_allowed, out);
     }
--- a/src/policy/final_answer.rs
+++ b/src/policy/local_reply.rs
@@ -1,4 +1,4 @@
-//! Why and how a request ends without a worker's answer.
+//! Local replies: the rejections and failures with which the router itself ends a request.
 
 use super::context::DecisionContext;
 use super::request::{Request, RequestPhase};
@@ -8,16 +8,17 @@
 use crate::rules::idempotency::is_rejection_harmless;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Steps in which the waits of rejected clients are spread.
+/// Number of distinct values of `retry_after`.
 const RETRY_AFTER_STEPS: u64 = 1000;
 
-/// Why a request has to end now, if it has to.
+/// The reason for which a request has to end now; `None` if it may go on.
 pub(super) fn end_reason(context: DecisionContext<'_>, request: &Request) -> Option<EndReason> {
     let DecisionContext { settings, now, .. } = context;
     let deadline = request.spec.deadline;
     match request.phase() {
-        RequestPhase::Streaming | RequestPhase::Answered => return None,
-        // The attempt's timeout ends at the deadline, and its outcome comes within the grace after it.
+        RequestPhase::Streaming | RequestPhase::Closed => return None,
+        // The attempt times out at the deadline at the latest; its outcome arrives within `answer_grace` of
+        // it.
         RequestPhase::Prefilling | RequestPhase::DecodeRequested { .. } => {
             return (now >= deadline).then_some(EndReason::DeadlineExceeded);
         }
@@ -29,11 +30,11 @@
     if request.attempts().len() as u32 >= settings.max_attempts {
         return Some(EndReason::AttemptsExhausted);
     }
-    // It may have run, and no worker may be sent it again: its client gains nothing by waiting.
+    // A request that can't be retried anywhere fails now, as its client would gain nothing by waiting.
     if request.may_have_run() && !retry::may_retry_anywhere(context, request) {
         return Some(EndReason::NotRetryable);
     }
-    // A decode worker had no capacity for it, and it is late now: it could only make others late.
+    // A late request whose decode has timed out would only take decode capacity from requests in time.
     let is_awaiting_decode = matches!(request.phase(), RequestPhase::AwaitingDecode { .. });
     if is_awaiting_decode && request.has_decode_timeout() {
         let is_late = now >= request.received_at + context.first_token_objective(request);
@@ -42,14 +43,15 @@
     None
 }
 
-/// A rejection, with the time after which to retry, where retrying is harmless; else a failure.
-pub(super) fn final_answer(context: DecisionContext<'_>, request: &Request, reason: EndReason) -> Action {
+/// The local reply to a request: a rejection, with a retry time if allowed, if retrying is harmless;
+/// otherwise a failure.
+pub(super) fn local_reply(context: DecisionContext<'_>, request: &Request, reason: EndReason) -> Action {
     let id = request.spec.request;
     if !is_rejection_harmless(context.class(request).idempotency, request.may_have_run()) {
         return Action::Fail { request: id, reason };
     }
     let retry_after = context.settings.retry_after_allowed.then(|| {
-        // Between half of the maximum and the maximum, so that clients rejected together don't return
+        // Jitter between half of the maximum and the maximum, so that clients rejected together do not retry
         // together.
         let half = context.settings.max_retry_after / 2;
         let step = xxh3_64_with_seed(&id.0.to_le_bytes(), context.seed) % RETRY_AFTER_STEPS;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,27 +1,29 @@
-//! The decisions of one router. Settings, events and actions are defined in `src/interface/`.
+//! The routing policy of one router. Settings, events and actions are defined in `src/interface/`.
 //!
-//! [`Policy`] is a state machine without input or output of its own: the caller hands it events with the
-//! time, and it appends the actions to take. Each kind of state has an owner in a module of its own; `Policy`
-//! holds them, routes events to them and takes requests through their phases (`lifecycle`).
+//! [`Policy`] is a sans-I/O state machine: the caller passes it events with the time, and it appends the
+//! actions to execute. Each kind of state is owned by a module of its own; `Policy` holds these modules,
+//! dispatches events to them and moves requests through their phases (`lifecycle`).
 //!
-//! | Question | Module |
+//! | Concern | Module |
 //! | --- | --- |
-//! | May a queued request start, and where? | `admission`, `prefill_choice`, `decode_choice`, `eligibility` |
-//! | How long may an attempt take? | `attempt_plan` |
-//! | May it be sent again? | `retry` |
-//! | Why and how does a request end unanswered by a worker? | `final_answer`; while queued also `admission` |
-//! | Who owns requests and their phases? | `request` |
-//! | Who owns the fleet? | `membership`, `places`, `worker`, `discovery_watch` |
-//! | Who owns the health and load of a worker? | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
-//! | How much is waiting at a worker? | `load_estimator` |
-//! | Who owns what was learned? | `latency_model`, `prefix_table`, `decode_timeouts` |
-//! | What do outcomes teach? | `feedback` |
-//! | Who owns quotas? | `tenant_quotas` |
+//! | Admission and choice of workers | `admission`, `prefill_choice`, `decode_choice`, `eligibility` |
+//! | Limits and timeout of an attempt | `attempt_plan` |
+//! | Retries of requests that may have run | `retry` |
+//! | Local replies: rejections and failures | `local_reply`; while queued also `admission` |
+//! | Requests, their phases and attempts | `request` |
+//! | The fleet | `membership`, `places`, `worker`, `discovery_watch` |
+//! | Health and load of a worker | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
+//! | Estimate of the queue at a worker | `load_estimator` |
+//! | Learned state | `latency_model`, `prefix_table`, `decode_timeouts` |
+//! | Updates of the learned state from outcomes | `feedback` |
+//! | Tenant quotas | `tenant_quotas` |
+//! | Periodic work | `sweep` |
+//! | Messages between routers | `gossip` |
 //!
-//! The modules that decide look at all of that state through a `DecisionContext` and change nothing.
+//! The modules that make decisions read this state through a `DecisionContext` and change nothing.
 //!
-//! Preble's E2 decides the ordinary path; everything else answers a kind of fault and says which. What shaped
-//! the rules is in `docs/incidents`.
+//! The ordinary path follows Preble's E2 algorithm. Every other rule handles a kind of fault, which its
+//! comment names. The incidents behind the rules are described in `docs/incidents`.
 
 mod admission;
 mod attempt_plan;
@@ -31,12 +33,12 @@
 mod discovery_watch;
 mod eligibility;
 mod feedback;
-mod final_answer;
 mod gossip;
 mod latency_model;
 mod lifecycle;
 mod load_estimator;
 mod load_view;
+mod local_reply;
 mod membership;
 mod outlier;
 mod places;
@@ -67,20 +69,25 @@
 use tenant_quotas::TenantQuotas;
 use worker::Worker;
 
-/// A share of a request's latency objective with two uses. In `attempt_plan` it is the least timeout of an
-/// attempt, if the client's deadline leaves as much: the objective then holds another attempt. In `admission`
-/// it is the most that the first token may take after the prefill when every decode worker has a request.
-const ATTEMPT_SHARE: f64 = 1.0 / 3.0;
+/// The share of a request's latency objective for a single attempt.
+///
+/// In `attempt_plan` it is the minimum timeout of an attempt, as far as the client's deadline allows, so that
+/// the objective leaves time for another attempt. In `admission` it is the limit for the time from prefill to
+/// first token when every decode worker has a request.
+const ATTEMPT_OBJECTIVE_SHARE: f64 = 1.0 / 3.0;
 
-/// The rest of the latency objective, with two uses as well. In `admission` it is the most that a prefill may
-/// take with the queue before it; [`ATTEMPT_SHARE`] is left for the first token. In `attempt_plan` it is the
-/// least timeout of a prefill while load can't be observed, if a retry after it would still be in time.
-const PREFILL_SHARE: f64 = 1.0 - ATTEMPT_SHARE;
+/// The share of a request's latency objective for its prefill.
+///
+/// In `admission` it is the limit for the prefill and the queue before it, which leaves
+/// [`ATTEMPT_OBJECTIVE_SHARE`] for the first token. In `attempt_plan` it is the minimum timeout of a prefill
+/// while load is unobservable, if a retry after it would still meet the objective.
+const PREFILL_OBJECTIVE_SHARE: f64 = 1.0 - ATTEMPT_OBJECTIVE_SHARE;
 
-/// Backoffs double at most this many times: a worker, or discovery, that recovers is used again soon.
+/// The limit of all exponential backoffs, so that a worker or a discovery agent that has recovered is soon
+/// used again.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// The decision module of one router.
+/// The routing policy of one router.
 #[derive(Default)]
 pub struct Policy {
     settings: Settings,
@@ -99,15 +106,15 @@
 }
 
 impl Policy {
-    /// A policy that knows nothing yet. Routers of one deployment take different seeds.
+    /// A policy without workers or requests. The routers of a deployment use different seeds.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // Stands for classes that the settings don't name: never retried, and of the least priority.
+        // The class of requests whose class is not configured: never retried, and of the lowest priority.
         settings.classes.push(Class { idempotency: Idempotency::NonIdempotent, ..Class::default() });
         Policy { quotas: TenantQuotas::new(&settings), settings, seed, ..Policy::default() }
     }
 
-    /// Takes one event in and appends the actions that answer it. Time never goes back: an earlier `now`
-    /// counts as the latest one.
+    /// Handles one event and appends the resulting actions to `out`. Time is monotonic: a `now` before the
+    /// latest one is replaced by it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.slow_start.refill(self.now, &self.settings, self.quotas.total_rate(), &mut self.membership);
@@ -129,18 +136,18 @@
             Event::Timer(timer) if timer == SweepTimer::ID => self.sweep(out),
             Event::HealthChecked { worker, report, .. } => self.record_load_report(&worker, report),
             Event::GossipReceived { payload, .. } => self.apply_gossip(&payload),
-            // Slots are never reserved ahead: the decode worker is chosen after the prefill.
+            // Slots are never reserved in advance, as the decode worker is chosen after the prefill.
             Event::Timer(_) | Event::SlotReserved { .. } => {}
         }
         if may_free_capacity {
-            self.advance_all(AdvanceScope::Waiting, out);
+            self.advance_all(AdvanceScope::WithoutAttempt, out);
         }
         if !self.requests.is_empty() || self.watch.is_retry_planned() {
             out.extend(self.sweep_timer.schedule(self.now, &self.settings));
         }
     }
 
-    /// What a decision may look at now.
+    /// The inputs of a decision at this moment.
     fn context(&self) -> DecisionContext<'_> {
         DecisionContext {
             settings: &self.settings,
@@ -155,7 +162,7 @@
         }
     }
 
-    /// What learns from an outcome.
+    /// The state that is updated from the outcomes of attempts.
     fn feedback(&mut self) -> Feedback<'_> {
         Feedback {
             now: self.now,
@@ -167,8 +174,8 @@
         }
     }
 
-    /// Looks after all that time alone changes: overdue answers, held KV caches, queued requests, old
-    /// entries.
+    /// Does the periodic work: renews the discovery watch, expires old state, and checks deadlines, held KV
+    /// caches and queued requests.
     fn sweep(&mut self, out: &mut Vec<Action>) {
         self.sweep_timer.fired();
         if self.watch.take_due_retry(self.now).is_some() {
@@ -177,9 +184,10 @@
         self.prefixes.expire(self.now);
         let prefixes = &self.prefixes;
         self.membership.rest(&self.settings, self.now, |id| prefixes.has_entries(id));
-        self.advance_all(AdvanceScope::Unanswered, out);
+        self.advance_all(AdvanceScope::WithoutResponse, out);
     }
 
+    /// Applies an update of the endpoint list, or schedules a new watch if discovery is unavailable.
     fn endpoints_updated(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>, out: &mut Vec<Action>) {
         if kind == UpdateKind::Unavailable {
             self.watch.record_failure(self.now, &self.settings);
@@ -206,18 +214,20 @@
         }
     }
 
-    /// Notifies the other routers of tokens that a prefill worker was sent or, below zero, is done with.
-    fn gossip(&self, worker: &WorkerId, tokens: f64, out: &mut Vec<Action>) {
+    /// Tells the other routers how many prompt tokens were added to a prefill worker's queue, or removed from
+    /// it if negative.
+    fn gossip_queue_change(&self, worker: &WorkerId, tokens: f64, out: &mut Vec<Action>) {
         if self.settings.gossip_allowed && self.settings.replica_count > 1 {
             out.push(Action::Gossip { to: None, payload: QueueChange::encode(worker, tokens) });
         }
     }
 
+    /// Applies a message of another router to the presumed load of the worker that it names.
     fn apply_gossip(&mut self, payload: &[u8]) {
         let Some(change) = QueueChange::decode(payload) else { return };
-        let is_named = |worker: &&Worker| worker_digest(&worker.id) == change.worker_digest;
-        let named = self.membership.iter().find(is_named).map(|worker| worker.id.clone());
-        let Some(id) = named else { return };
+        let has_digest = |worker: &&Worker| worker_digest(&worker.id) == change.worker_digest;
+        let worker_id = self.membership.iter().find(has_digest).map(|worker| worker.id.clone());
+        let Some(id) = worker_id else { return };
         if let Some(worker) = self.membership.activity_mut(&id) {
             worker.load.add_presumed_tokens(self.now, change.tokens);
         }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,4 +1,4 @@
-//! Requests in progress, their phases and their attempts.
+//! Open requests, their phases and their attempts.
 
 use super::tenant_quotas::QuotaStatus;
 use super::worker::{Distance, TrafficKey};
@@ -7,37 +7,37 @@
 };
 use std::collections::BTreeMap;
 
-/// Health checks that one request may cause: of the chosen prefill worker, and of two that may stand in.
+/// Health checks that may be sent for one request: one to the chosen prefill worker, and two to alternatives.
 const MAX_HEALTH_CHECKS: u32 = 3;
 
-/// The hold of a KV cache that a prefill left at its worker.
+/// A KV cache that is held at the prefill worker for a decode worker to fetch.
 #[derive(Clone)]
-pub(super) struct CacheHold {
+pub(super) struct HeldCache {
     /// The prefill worker that holds it.
     pub worker: WorkerId,
-    /// Since when no attempt that reached a worker has been in flight: the hold limit counts from here.
+    /// End of the last attempt that reached a worker; the hold limit counts from here.
     pub idle_since: Micros,
 }
 
-/// How far a request has come.
+/// The phase of a request.
 pub(super) enum RequestPhase {
     /// No attempt is in flight and no KV cache is held.
     Queued,
     /// A prefill attempt is in flight.
     Prefilling,
-    /// The KV cache waits at a prefill worker; no attempt is in flight.
-    AwaitingDecode { cache: CacheHold },
-    /// A decode attempt is in flight. Without a cache to fetch, the worker processes the prompt itself.
-    DecodeRequested { cache: Option<CacheHold> },
-    /// The answer is streaming to the client.
+    /// A KV cache is held at a prefill worker; no attempt is in flight.
+    AwaitingDecode { cache: HeldCache },
+    /// A decode attempt is in flight. Without a held cache, the worker processes the prompt itself.
+    DecodeRequested { cache: Option<HeldCache> },
+    /// The response is being streamed to the client.
     Streaming,
-    /// The request has its final answer, or its client has left; attempts may still be in flight.
-    Answered,
+    /// The request has its final response, or its client has disconnected; attempts may still be in flight.
+    Closed,
 }
 
 impl RequestPhase {
-    /// The hold of the request's KV cache, if one is held.
-    pub fn cache_hold(&self) -> Option<&CacheHold> {
+    /// The held KV cache, if there is one.
+    pub fn held_cache(&self) -> Option<&HeldCache> {
         match self {
             RequestPhase::AwaitingDecode { cache } => Some(cache),
             RequestPhase::DecodeRequested { cache } => cache.as_ref(),
@@ -45,7 +45,7 @@
         }
     }
 
-    fn into_cache_hold(self) -> Option<CacheHold> {
+    fn into_held_cache(self) -> Option<HeldCache> {
         match self {
             RequestPhase::AwaitingDecode { cache } => Some(cache),
             RequestPhase::DecodeRequested { cache } => cache,
@@ -53,36 +53,36 @@
         }
     }
 
-    /// Whether the answer has at least begun, so that nothing more may be sent for the request.
-    pub fn is_answer_started(&self) -> bool {
-        matches!(self, RequestPhase::Streaming | RequestPhase::Answered)
+    /// Whether the response has started or the request is closed, so that no further attempt may be sent.
+    pub fn is_streaming_or_closed(&self) -> bool {
+        matches!(self, RequestPhase::Streaming | RequestPhase::Closed)
     }
 }
 
-/// Names one attempt of one request.
+/// Identifies an attempt.
 pub(super) type AttemptKey = (RequestId, AttemptIndex);
 
-/// What the policy knows of one attempt of a request at a worker.
+/// An attempt of a request at a worker, as the policy tracks it.
 #[derive(Clone)]
 pub(super) struct TrackedAttempt {
     /// The worker.
     pub worker: WorkerId,
-    /// What it was asked to do.
+    /// The stage that it runs.
     pub stage: Stage,
-    /// How far the KV cache had to travel; [`Distance::Remote`] when there was none.
+    /// Distance from the held KV cache to the worker; [`Distance::Remote`] if no cache is held.
     pub distance: Distance,
     /// When it was sent.
     pub sent_at: Micros,
-    /// When its answer is overdue.
-    pub due_at: Micros,
+    /// When it becomes overdue, which counts against its worker's health.
+    pub overdue_at: Micros,
     /// Tokens that it adds to the worker's queue or memory.
     pub tokens: f64,
-    /// Tokens to be processed until its answer begins, those queued before it included.
-    pub work: f64,
-    /// How it ended; `None` while it is in flight.
+    /// Tokens to process until its response starts, including those queued before it.
+    pub work_tokens: f64,
+    /// Its outcome; `None` while it is in flight.
     pub outcome: Option<Outcome>,
-    /// When its stream started.
-    pub started_at: Option<Micros>,
+    /// When its response stream started.
+    pub stream_started_at: Option<Micros>,
 }
 
 impl TrackedAttempt {
@@ -97,13 +97,13 @@
 
 /// A request that this router has received.
 pub(super) struct Request {
-    /// What its client asked for.
+    /// The request as received from the client.
     pub spec: RequestSpec,
     /// The index of its class in the settings.
     pub class_index: usize,
     /// When it was received.
     pub received_at: Micros,
-    /// Where it stands with its tenant's quota.
+    /// Whether it is within its tenant's quota.
     pub quota: QuotaStatus,
     phase: RequestPhase,
     attempts: Vec<TrackedAttempt>,
@@ -111,14 +111,14 @@
 }
 
 impl Request {
-    /// A request that has just been received.
+    /// A queued request without attempts.
     pub fn new(spec: RequestSpec, class_index: usize, received_at: Micros, quota: QuotaStatus) -> Self {
         let (phase, attempts) = (RequestPhase::Queued, Vec::new());
         let health_checks_left = MAX_HEALTH_CHECKS;
         Request { spec, class_index, received_at, quota, phase, attempts, health_checks_left }
     }
 
-    /// How far it has come.
+    /// Its phase.
     pub fn phase(&self) -> &RequestPhase {
         &self.phase
     }
@@ -128,39 +128,39 @@
         &self.attempts
     }
 
-    /// Takes one of the health checks that it may cause; `None` when none is left.
+    /// Uses up one of the health checks allowed for this request; `None` if none is left.
     pub fn take_health_check(&mut self) -> Option<()> {
         self.health_checks_left = self.health_checks_left.checked_sub(1)?;
         Some(())
     }
 
-    /// The attempts without an outcome.
+    /// Its attempts without an outcome.
     pub fn in_flight(&self) -> impl Iterator<Item = &TrackedAttempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether some attempt may have had an effect, or still may.
+    /// Whether an attempt may have had an effect, or still may.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(TrackedAttempt::may_have_run)
     }
 
-    /// Whether some decode worker did not start its stream in time.
+    /// Whether a decode attempt has timed out.
     pub fn has_decode_timeout(&self) -> bool {
         self.attempts.iter().any(|a| a.stage == Stage::Decode && a.outcome == Some(Outcome::TimedOut))
     }
 
     /// Whether a decode attempt was sent to this worker before.
-    pub fn was_decoded_at(&self, worker: &WorkerId) -> bool {
+    pub fn has_decode_attempt_at(&self, worker: &WorkerId) -> bool {
         self.attempts.iter().any(|a| a.stage == Stage::Decode && a.worker == *worker)
     }
 
-    /// What workers may distinguish when they reject: class and tenant.
+    /// Its class and tenant, by which workers may decide to reject requests.
     pub fn traffic_key(&self) -> TrafficKey {
         TrafficKey { class_index: self.class_index, tenant: self.spec.tenant.clone() }
     }
 
-    /// How many tokens the answer is expected to add to the KV cache: by the client's estimate where there is
-    /// one, else half of what it may have.
+    /// Expected number of output tokens, which the decode adds to the KV cache: the client's estimate if
+    /// there is one, otherwise half of `max_tokens`.
     pub fn expected_output_tokens(&self, class: &Class) -> f64 {
         let half = self.spec.max_tokens as f64 / 2.0;
         match self.spec.expected_decode_time {
@@ -171,10 +171,10 @@
         }
     }
 
-    /// Records an attempt that has just been sent, and returns its index. A decode attempt keeps the held KV
-    /// cache.
+    /// Records an attempt that is being sent, and returns its index. The held KV cache stays held during a
+    /// decode attempt.
     pub fn begin_attempt(&mut self, attempt: TrackedAttempt) -> AttemptIndex {
-        let cache = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_cache_hold();
+        let cache = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_held_cache();
         self.phase = match attempt.stage {
             Stage::Prefill => RequestPhase::Prefilling,
             Stage::Decode => RequestPhase::DecodeRequested { cache },
@@ -184,19 +184,19 @@
         index
     }
 
-    /// Records the start of an attempt's stream: the worker has fetched the KV cache by then. Returns the
-    /// attempt, if there is one of that index.
+    /// Records the start of an attempt's response stream, by which the worker has fetched the KV cache.
+    /// Returns the attempt, or `None` if there is none of that index.
     pub fn start_stream(&mut self, index: AttemptIndex, now: Micros) -> Option<TrackedAttempt> {
         let attempt = self.attempts.get_mut(index.0 as usize)?;
-        attempt.started_at = Some(now);
-        if !matches!(self.phase, RequestPhase::Answered) {
+        attempt.stream_started_at = Some(now);
+        if !matches!(self.phase, RequestPhase::Closed) {
             self.phase = RequestPhase::Streaming;
         }
         Some(attempt.clone())
     }
 
-    /// Records an attempt's outcome. Returns the attempt as it was before, or `None` if there is none of that
-    /// index or it has already ended.
+    /// Records an attempt's outcome. Returns the attempt as it was in flight, or `None` if there is none of
+    /// that index or it has already ended.
     pub fn end_attempt(
         &mut self,
         index: AttemptIndex,
@@ -209,36 +209,37 @@
         }
         let ended = attempt.clone();
         attempt.outcome = Some(outcome);
-        if matches!(self.phase, RequestPhase::Answered) {
+        if matches!(self.phase, RequestPhase::Closed) {
             return Some(ended);
         }
-        let held = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_cache_hold();
+        let held = std::mem::replace(&mut self.phase, RequestPhase::Queued).into_held_cache();
         let cache = match outcome {
-            Outcome::PrefillCompleted => Some(CacheHold { worker: ended.worker.clone(), idle_since: now }),
+            Outcome::PrefillCompleted => Some(HeldCache { worker: ended.worker.clone(), idle_since: now }),
             Outcome::CacheMissing => None,
-            // An attempt that reached no worker did not fetch the cache: the hold limit runs on.
+            // The attempt reached no worker and can't have fetched the cache, so the hold limit keeps
+            // running.
             Outcome::ConnectFailed | Outcome::NotSent => held,
-            _ => held.map(|cache| CacheHold { idle_since: now, ..cache }),
+            _ => held.map(|cache| HeldCache { idle_since: now, ..cache }),
         };
         self.phase = cache.map_or(RequestPhase::Queued, |cache| RequestPhase::AwaitingDecode { cache });
         Some(ended)
     }
 
-    /// Assumes that an ended attempt left a KV cache or a slot behind, so that closing the request releases
-    /// it.
+    /// Assumes that an ended attempt left a KV cache or a slot at the worker, so that closing the request
+    /// releases it.
     pub fn assume_cache_at(&mut self, worker: WorkerId, now: Micros) {
-        self.phase = RequestPhase::AwaitingDecode { cache: CacheHold { worker, idle_since: now } };
+        self.phase = RequestPhase::AwaitingDecode { cache: HeldCache { worker, idle_since: now } };
     }
 }
 
-/// All requests in progress, in the order of their numbers.
+/// All open requests, ordered by ID. Closed requests stay until none of their attempts is in flight.
 #[derive(Default)]
 pub(super) struct Requests {
     requests: BTreeMap<RequestId, Request>,
 }
 
 impl Requests {
-    /// Whether no request is in progress.
+    /// Whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
@@ -248,17 +249,17 @@
         self.requests.insert(request.spec.request, request);
     }
 
-    /// The request of this number.
+    /// The request with this ID.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
 
-    /// The request of this number, to be changed.
+    /// Mutable access to the request with this ID.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests.get_mut(&id)
     }
 
-    /// All requests with their numbers.
+    /// All requests with their IDs.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> {
         self.requests.iter().map(|(id, request)| (*id, request))
     }
@@ -274,29 +275,29 @@
         attempt.outcome.is_none().then_some(attempt)
     }
 
-    /// Releases the KV cache that is held for a request, which is queued again.
+    /// Releases the KV cache held for a request, if there is one, and queues the request again.
     pub fn release_cache(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if request.phase.cache_hold().is_some() {
+        if request.phase.held_cache().is_some() {
             out.push(Action::ReleaseCache { request: id });
         }
         request.phase = RequestPhase::Queued;
     }
 
-    /// Closes a request that has its final answer or whose client has left: cancels its attempts where that
-    /// is allowed and releases what is held for it. It is forgotten once no attempt is in flight.
+    /// Closes a request that has its final response or whose client has disconnected: cancels its attempts,
+    /// if allowed, and releases its held KV cache. The request is removed once no attempt is in flight.
     pub fn close(&mut self, id: RequestId, cancellation_allowed: bool, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let phase = std::mem::replace(&mut request.phase, RequestPhase::Answered);
+        let phase = std::mem::replace(&mut request.phase, RequestPhase::Closed);
         if cancellation_allowed {
             for (index, attempt) in request.attempts.iter().enumerate() {
-                if attempt.outcome.is_none() && attempt.started_at.is_none() {
+                if attempt.outcome.is_none() && attempt.stream_started_at.is_none() {
                     let attempt = AttemptIndex(index as u32);
                     out.push(Action::CancelAttempt { request: id, attempt });
                 }
             }
         }
-        if phase.cache_hold().is_some() {
+        if phase.held_cache().is_some() {
             out.push(Action::ReleaseCache { request: id });
         }
         if request.in_flight().next().is_none() {
