--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -1,4 +1,4 @@
-//! What a decision may look at.
+//! The read-only inputs of decisions.
 
 use super::decode_timeouts::DecodeTimeouts;
 use super::latency_model::{LatencyModel, TimeoutBackoff};
@@ -10,13 +10,13 @@
 use super::worker::Worker;
 use crate::interface::{Class, Micros, Settings};
 
-/// A worker counts as slow from this multiple of its peers' median on: ordinary differences are noise.
+/// A worker counts as slow from this multiple of the median of its role on; smaller differences are noise.
 pub(super) const SIGNIFICANT_SLOWNESS: f64 = 1.5;
 
-/// References to all that a decision depends on, at one moment. Decisions change nothing themselves.
+/// References to all state that a decision depends on, at one moment. Decisions do not modify it.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
-    /// What the deployment states.
+    /// The settings of the deployment.
     pub settings: &'a Settings,
     /// This router's seed.
     pub seed: u64,
@@ -24,13 +24,13 @@
     pub now: Micros,
     /// The workers.
     pub membership: &'a Membership,
-    /// The requests in progress.
+    /// The open requests.
     pub requests: &'a Requests,
-    /// What is presumed to be cached where.
+    /// The prefixes that are presumed to be cached at each worker.
     pub prefixes: &'a PrefixTable,
-    /// Learned latencies and sizes.
+    /// Learned latencies and prompt sizes.
     pub latency: &'a LatencyModel,
-    /// How long timeouts are extended.
+    /// The backoff of timeouts, per stage.
     pub timeout_backoff: &'a TimeoutBackoff,
     /// Recent decode timeouts.
     pub decode_timeouts: &'a DecodeTimeouts,
@@ -42,7 +42,7 @@
         &self.settings.classes[request.class_index]
     }
 
-    /// The priority weight of a request, which is less beyond its tenant's quota.
+    /// The priority weight of a request, which is reduced if its tenant is over quota.
     pub fn priority(&self, request: &Request) -> f64 {
         let weight = self.class(request).priority_weight;
         match request.quota {
@@ -51,16 +51,16 @@
         }
     }
 
-    /// The latency objective for a request's first token, counted from when it was received.
+    /// The latency objective for a request's first token, measured from the time of its receipt.
     pub fn first_token_objective(&self, request: &Request) -> Micros {
         let class = self.class(request);
         let per_1000_tokens = class.first_token_objective_per_1000_tokens as f64;
-        let length_part = per_1000_tokens * request.spec.prompt_tokens as f64 / 1000.0;
-        class.first_token_objective.saturating_add(length_part as Micros)
+        let length_objective = per_1000_tokens * request.spec.prompt_tokens as f64 / 1000.0;
+        class.first_token_objective.saturating_add(length_objective as Micros)
     }
 
-    /// How much longer a worker takes than the median worker of its role: 1 for an ordinary one, and at least
-    /// what its slow start makes it.
+    /// The latency of a worker relative to the median worker of its role. It is 1 below
+    /// [`SIGNIFICANT_SLOWNESS`], and at least the inverse of the capacity fraction during slow start.
     pub fn relative_slowness(&self, worker: &Worker) -> f64 {
         let median = self.membership.median_slowness(worker.role);
         let relative = worker.slowness() / median.max(0.1);
--- a/src/policy/decode_timeouts.rs
+++ b/src/policy/decode_timeouts.rs
@@ -1,20 +1,20 @@
-//! Recent timeouts of decode workers, near and far from the KV cache.
+//! Recent timeouts of decode attempts, by the distance from the KV cache.
 
 use super::statistics::DecayingSum;
 use super::worker::Distance;
 use crate::interface::Micros;
 
-/// Recent attempts at decode workers that did not start in time.
+/// Recent decode attempts that timed out.
 #[derive(Default)]
 pub(super) struct DecodeTimeouts {
-    /// In the cell of the KV cache.
+    /// At workers in the cell of the KV cache.
     pub same_cell: DecayingSum,
-    /// Out of the cell, or without a KV cache.
+    /// At workers in other cells, or without a held KV cache.
     pub elsewhere: DecayingSum,
 }
 
 impl DecodeTimeouts {
-    /// Records an attempt that did not start in time.
+    /// Records a decode attempt that timed out.
     pub fn record(&mut self, distance: Distance, now: Micros) {
         let timeouts = match distance {
             Distance::SameCell => &mut self.same_cell,
--- a/src/policy/discovery_watch.rs
+++ b/src/policy/discovery_watch.rs
@@ -1,9 +1,9 @@
-//! When to watch discovery again after it was unavailable.
+//! The backoff for renewing the discovery watch.
 
 use super::MAX_BACKOFF_DOUBLINGS;
 use crate::interface::{Micros, Settings};
 
-/// The backoff of the watch for updates of the endpoint list.
+/// Schedules retries of the watch for endpoint list updates, with exponential backoff.
 #[derive(Default)]
 pub(super) struct DiscoveryWatch {
     failures: u32,
@@ -11,14 +11,14 @@
 }
 
 impl DiscoveryWatch {
-    /// Records that discovery could not be reached.
+    /// Records that discovery was unavailable, and plans a retry if a watch is required.
     pub fn record_failure(&mut self, now: Micros, settings: &Settings) {
         self.failures = (self.failures + 1).min(MAX_BACKOFF_DOUBLINGS);
         let retry_at = now + (settings.connect_timeout << self.failures);
         self.retry_at = settings.watch_required.then_some(retry_at);
     }
 
-    /// Records an update from discovery.
+    /// Records an update from discovery, which resets the backoff.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
@@ -28,7 +28,7 @@
         self.retry_at.is_some()
     }
 
-    /// Takes the planned retry if it is due; `None` when it is not.
+    /// Removes and returns the planned retry if it is due; `None` if it is not.
     pub fn take_due_retry(&mut self, now: Micros) -> Option<Micros> {
         self.retry_at.take_if(|at| *at <= now)
     }
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -1,4 +1,4 @@
-//! What the outcomes of attempts teach of workers, latencies and timeouts.
+//! Updates of worker health, learned latencies and timeout backoff from the outcomes of attempts.
 
 use super::decode_timeouts::DecodeTimeouts;
 use super::latency_model::{LatencyKind, LatencyModel, TimeoutBackoff};
@@ -8,42 +8,42 @@
 use super::worker::TrafficKey;
 use crate::interface::{Micros, Outcome, Settings, Stage, WorkerId};
 
-/// A worker that has rejected a request is not sent others of its class and tenant for this long, while
-/// another worker is left.
+/// Time for which a worker that has rejected a request is avoided for requests of the same class and tenant,
+/// as long as another worker is eligible.
 const REJECTION_PERIOD: Micros = LOAD_HALF_LIFE / 2;
 
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
-    /// The attempt as it was in flight.
+    /// The attempt as it was in flight, without its outcome.
     pub attempt: TrackedAttempt,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// How long it took, by the caller's measure.
+    /// Its duration, as measured by the caller of the policy.
     pub elapsed: Micros,
     /// Prompt tokens that the worker did not find cached.
     pub uncached_tokens: f64,
-    /// Class and tenant of its request.
+    /// The class and tenant of its request.
     pub traffic: TrafficKey,
 }
 
-/// All that learns from outcomes, borrowed for one event.
+/// The state that is updated from outcomes, borrowed for one event.
 pub(super) struct Feedback<'a> {
     /// The present time.
     pub now: Micros,
-    /// What the deployment states.
+    /// The settings of the deployment.
     pub settings: &'a Settings,
     /// The workers.
     pub membership: &'a mut Membership,
-    /// Learned latencies and sizes.
+    /// Learned latencies and prompt sizes.
     pub latency: &'a mut LatencyModel,
-    /// How long timeouts are extended.
+    /// The backoff of timeouts, per stage.
     pub timeout_backoff: &'a mut TimeoutBackoff,
     /// Recent decode timeouts.
     pub decode_timeouts: &'a mut DecodeTimeouts,
 }
 
 impl Feedback<'_> {
-    /// Learns from an attempt whose stream has started after `elapsed`.
+    /// Records an attempt whose response stream has started after `elapsed`.
     pub fn stream_started(&mut self, attempt: &TrackedAttempt, elapsed: Micros) {
         self.timeout_backoff.record_success(Stage::Decode);
         self.record_success(&attempt.worker);
@@ -55,12 +55,12 @@
         );
     }
 
-    /// Learns from an attempt that has ended.
+    /// Records an attempt that has ended.
     pub fn attempt_ended(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { attempt, .. } = ended;
         match ended.outcome {
             Outcome::PrefillCompleted => self.prefill_completed(ended),
-            // A stream was a success when it started; an answer without one is a success now.
+            // A response stream counted as a success when it started; other responses count now.
             Outcome::Completed if attempt.stream_started_at.is_none() => self.record_success(&attempt.worker),
             Outcome::Rejected => {
                 let until = self.now + REJECTION_PERIOD;
@@ -84,21 +84,22 @@
         self.timeout_backoff.record_success(Stage::Prefill);
         self.latency.record_uncached_tokens(*uncached_tokens);
         self.record_success(&attempt.worker);
-        let work = attempt.work_tokens - attempt.tokens + uncached_tokens;
-        self.record_latency(&attempt.worker, LatencyKind::Prefill, ended.elapsed, work);
+        let work_tokens = attempt.work_tokens - attempt.tokens + uncached_tokens;
+        self.record_latency(&attempt.worker, LatencyKind::Prefill, ended.elapsed, work_tokens);
     }
 
     fn timed_out(&mut self, ended: &EndedAttempt) {
         let EndedAttempt { attempt, elapsed, .. } = ended;
         self.timeout_backoff.record_timeout(attempt.stage, attempt.stream_started_at.is_some());
-        // It would have taken at least this long: else timeouts under load would cause more timeouts.
+        // The elapsed time is a lower bound of the latency. Without it, the learned latency would stay too
+        // low under load, and timeouts would cause more timeouts.
         let kind = LatencyKind::of(attempt.stage, attempt.distance);
         self.record_latency(&attempt.worker, kind, *elapsed, attempt.work_tokens);
         self.record_failure(attempt);
         match attempt.stage {
             Stage::Decode => self.decode_timeouts.record(attempt.distance, self.now),
             Stage::Prefill if self.settings.is_load_unobservable() => {
-                // Without a report, the timeout counts as if the worker had reported so much work.
+                // In place of a load report, presume a queue that takes as long as the attempt took.
                 let time_per_token = self.latency.prefill_time_per_token().value_or(f64::MAX).max(1e-9);
                 if let Some(worker) = self.membership.activity_mut(&attempt.worker) {
                     worker.load.add_presumed_tokens(self.now, *elapsed as f64 / time_per_token);
@@ -120,8 +121,8 @@
         }
     }
 
-    fn record_latency(&mut self, worker: &WorkerId, kind: LatencyKind, elapsed: Micros, work: f64) {
-        let ratio = self.latency.record(kind, elapsed, work);
+    fn record_latency(&mut self, worker: &WorkerId, kind: LatencyKind, elapsed: Micros, work_tokens: f64) {
+        let ratio = self.latency.record(kind, elapsed, work_tokens);
         self.membership.record_slowness(worker, ratio);
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -117,7 +117,12 @@
     /// latest one is replaced by it.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.slow_start.refill(self.now, &self.settings, self.quotas.total_rate(), &mut self.membership);
+        self.slow_start.refill(
+            self.now,
+            &self.settings,
+            self.quotas.total_rate_per_us(),
+            &mut self.membership,
+        );
         let may_free_capacity = matches!(
             event,
             Event::AttemptEnded(_)
--- a/src/policy/sweep.rs
+++ b/src/policy/sweep.rs
@@ -1,22 +1,23 @@
-//! The timer of sweeps, which look after all that time alone changes.
+//! The timer of the periodic sweep, which handles deadlines, limits and expiry.
 
 use crate::interface::{Action, Micros, Settings, TimerId};
 
-/// Sweeps within the limit for held KV caches: fine enough that nothing is held near to the limit.
+/// Sweeps per hold limit of KV caches: enough to release every cache well before the limit.
 const SWEEPS_PER_HOLD_LIMIT: Micros = 12;
 
-/// Bounds for the time between sweeps: no more than a thousand a second, no fewer than ten.
+/// Lower bound of the time between sweeps: at most 1,000 sweeps per second.
 const MIN_SWEEP_INTERVAL: Micros = 1_000;
+/// Upper bound of the time between sweeps: at least 10 sweeps per second.
 const MAX_SWEEP_INTERVAL: Micros = 100_000;
 
-/// The only timer that the policy sets.
+/// The timer of the periodic sweep, the only one that the policy sets.
 #[derive(Default)]
 pub(super) struct SweepTimer {
     is_scheduled: bool,
 }
 
 impl SweepTimer {
-    /// Its number.
+    /// Its ID.
     pub const ID: TimerId = TimerId(1);
 
     /// Schedules the next sweep, unless one is scheduled already.
@@ -34,11 +35,11 @@
 
 /// The time between sweeps.
 fn sweep_interval(settings: &Settings) -> Micros {
-    let least = settings.event_interval.max(MIN_SWEEP_INTERVAL);
-    (settings.cache_hold_limit / SWEEPS_PER_HOLD_LIMIT).clamp(least, MAX_SWEEP_INTERVAL)
+    let min_interval = settings.event_interval.max(MIN_SWEEP_INTERVAL);
+    (settings.cache_hold_limit / SWEEPS_PER_HOLD_LIMIT).clamp(min_interval, MAX_SWEEP_INTERVAL)
 }
 
-/// How long before a limit something is done about it, so that a sweep comes in time for it.
+/// How long before a limit to act on it: two sweep intervals, so that a sweep runs before the limit.
 pub(super) fn sweep_margin(settings: &Settings) -> Micros {
     2 * sweep_interval(settings)
 }
--- a/src/policy/tenant_quotas.rs
+++ b/src/policy/tenant_quotas.rs
@@ -1,25 +1,24 @@
-//! Quotas of tenants, as token buckets.
+//! Tenant quotas, enforced by a token bucket per tenant.
 
 use crate::interface::{Micros, Settings};
 use std::collections::BTreeMap;
 
-/// Requests of a tenant that may come at once, unless [`BURST_SECONDS`] allow more: so few are chance, not
-/// excess.
+/// Minimum burst of a tenant, in requests: so few requests at once may arrive by chance, within the quota.
 const BURST_REQUESTS: f64 = 10.0;
 
-/// A tenant may use this many seconds' worth of its quota at once.
+/// Burst of a tenant, in seconds of its quota.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Where a request stands with its tenant's quota.
+/// Whether a request is within its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QuotaStatus {
-    /// Within it, or there is none.
+    /// Within the quota, or the tenant has none.
     Within,
-    /// Beyond it.
+    /// Beyond the quota.
     Exceeded,
 }
 
-/// A token bucket that is full at start.
+/// A token bucket, full at first.
 struct TokenBucket {
     rate_per_s: f64,
     level: f64,
@@ -31,7 +30,7 @@
         TokenBucket { rate_per_s, level: f64::MAX, refilled_at: 0 }
     }
 
-    /// Takes one token, if there is one.
+    /// Refills the bucket and takes one token, if there is one.
     fn take(&mut self, now: Micros) -> QuotaStatus {
         let refill = self.rate_per_s * (now - self.refilled_at) as f64 / 1e6;
         let capacity = BURST_REQUESTS.max(self.rate_per_s * BURST_SECONDS);
@@ -45,14 +44,14 @@
     }
 }
 
-/// This router's part of each tenant's quota.
+/// This router's share of each tenant's quota.
 #[derive(Default)]
 pub(super) struct TenantQuotas {
     buckets: BTreeMap<String, TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// Full buckets for all tenants: each router grants an equal part of the quota.
+    /// Full buckets for all tenants. The quotas are divided equally among the routers.
     pub fn new(settings: &Settings) -> Self {
         let replicas = f64::from(settings.replica_count.max(1));
         let bucket = |quota_per_s: f64| TokenBucket::new(quota_per_s / replicas);
@@ -60,14 +59,15 @@
         TenantQuotas { buckets: tenants.map(|t| (t.name.clone(), bucket(t.quota_per_s))).collect() }
     }
 
-    /// Charges a request to its tenant. Tenants that the settings don't name have no quota to exceed.
+    /// Charges a request to its tenant's quota. Requests without a tenant and tenants without a configured
+    /// quota are unlimited.
     pub fn charge(&mut self, tenant: Option<&str>, now: Micros) -> QuotaStatus {
         let bucket = tenant.and_then(|tenant| self.buckets.get_mut(tenant));
         bucket.map_or(QuotaStatus::Within, |bucket| bucket.take(now))
     }
 
-    /// Requests a microsecond that this router's quotas allow in all.
-    pub fn total_rate(&self) -> f64 {
+    /// The sum of this router's quotas, in requests per microsecond.
+    pub fn total_rate_per_us(&self) -> f64 {
         self.buckets.values().map(|bucket| bucket.rate_per_s).sum::<f64>() / 1e6
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Retries, releases, ejections and limits of the policy, one failure at a time.
+//! Retries, cache releases, ejections and limits of the policy, one kind of failure per test.
 
 #[path = "support/rig.rs"]
 mod rig;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 #[test]
-fn without_workers_a_request_gets_one_final_answer_in_time() {
+fn without_workers_a_request_gets_exactly_one_local_reply_by_its_deadline() {
     let mut rig = Rig::new(settings());
     rig.update_endpoints(UpdateKind::Restored, Vec::new());
     let received = rig.request(1, "idempotent");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn when_all_workers_fail_a_request_gets_one_final_answer_within_its_attempts() {
+fn when_all_workers_fail_a_request_gets_one_local_reply_within_its_attempt_limit() {
     let mut rig = Rig::fleet(settings());
     rig.request(1, "idempotent");
     for attempt in 0..5 {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_attempt_without_an_outcome_is_answered_at_the_deadline() {
+fn a_request_whose_attempt_gets_no_outcome_gets_a_local_reply_at_its_deadline() {
     let mut rig = Rig::fleet(settings());
     rig.request(1, "idempotent");
     rig.pass_time(5 * SECOND);
@@ -48,7 +48,7 @@
         let after = rig.end_attempt(1, 1, outcome);
         assert!(send_targets(&after).is_empty());
         assert!(has_failed(&after, 1), "{outcome:?}: {after:?}");
-        assert_eq!(cache_release_count(&after), 1, "its KV cache is released at once");
+        assert_eq!(cache_release_count(&after), 1, "its KV cache is released immediately");
         assert_eq!(final_answer_count(&rig.pass_time(5 * SECOND)), 0);
     }
 }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_retried_only_in_its_scope_and_window() {
+fn a_keyed_request_is_retried_only_within_its_deduplication_scope_and_window() {
     let mut rig = Rig::fleet(settings());
     rig.request(1, "cell-keyed");
     let first = send_targets(&rig.end_attempt(1, 0, Outcome::PrefillCompleted))[0].to_owned();
@@ -73,7 +73,7 @@
         "w1" => assert!(send_targets(&after).iter().all(|w| *w == "w1")),
         _ => assert!(send_targets(&after).iter().all(|w| *w == "w2" || *w == "w3")),
     }
-    // A retry has to begin inside the window, which counts from the first attempt that may have run.
+    // A retry has to start within the window, which begins with the first attempt that may have run.
     let deduplication_deadline = |actions: &[Action]| {
         actions.iter().find_map(|a| {
             if let Action::Send { deduplication_deadline, .. } = a {
@@ -101,7 +101,7 @@
     rig.end_attempt(1, 0, Outcome::PrefillCompleted);
     rig.now += 6 * SECOND;
     let late = rig.end_attempt(1, 1, Outcome::TimedOut);
-    assert!(send_targets(&late).is_empty(), "the workers have forgotten its key: {late:?}");
+    assert!(send_targets(&late).is_empty(), "the deduplication window of its key is over: {late:?}");
     assert!(has_failed(&late, 1));
 }
 
@@ -136,18 +136,18 @@
 }
 
 #[test]
-fn a_held_cache_is_released_in_time_when_no_decode_worker_is_ready() {
+fn a_held_cache_is_released_within_the_hold_limit_when_no_decode_worker_is_ready() {
     let mut rig = Rig::fleet(settings());
     rig.request(1, "idempotent");
-    let gone = |w: &str, c| endpoint(w, c, WorkerStatus::Draining, None);
-    rig.update_endpoints(UpdateKind::Delta, vec![gone("w1", 0), gone("w2", 1), gone("w3", 1)]);
+    let draining = |w: &str, c| endpoint(w, c, WorkerStatus::Draining, None);
+    rig.update_endpoints(UpdateKind::Delta, vec![draining("w1", 0), draining("w2", 1), draining("w3", 1)]);
     rig.end_attempt(1, 0, Outcome::PrefillCompleted);
     let prefilled_at = rig.now;
     let within = rig.pass_time(490 * MS);
     assert_eq!(cache_release_count(&within), 1, "not released by {} us", rig.now - prefilled_at);
 }
 
-/// Found with cut connections: each decode worker that could not be reached extended the hold limit.
+/// With broken connections, each decode worker that could not be reached extended the hold limit.
 #[test]
 fn unreachable_decode_workers_do_not_extend_the_cache_hold_limit() {
     let mut rig = Rig::fleet(settings());
@@ -160,13 +160,13 @@
         rig.end_attempt(1, attempt, Outcome::ConnectFailed);
         attempt += 1;
     }
-    // The last connection that is waited for may have begun just inside the limit.
+    // The last connection attempt may have started just before the limit.
     assert!(rig.now - prefilled_at <= 750 * MS, "released after {} ms", (rig.now - prefilled_at) / MS);
     assert_eq!(final_answer_count(&rig.actions), 0);
 }
 
 #[test]
-fn a_prefill_that_completes_after_the_client_disconnected_is_released() {
+fn a_prefill_that_completes_after_the_client_disconnected_has_its_cache_released() {
     let mut rig = Rig::fleet(settings());
     rig.request(1, "idempotent");
     rig.handle(Event::ClientDisconnected { request: RequestId(1) });
@@ -178,11 +178,11 @@
 #[test]
 fn a_prefill_worker_that_fails_fast_is_ejected() {
     let mut rig = Rig::fleet(settings());
-    let mut bad = 0;
+    let mut failed_attempts = 0;
     for id in 1..40 {
         let to = send_targets(&rig.request(id, "idempotent"))[0].to_owned();
         if to == "r1" {
-            bad += 1;
+            failed_attempts += 1;
             rig.end_attempt(id, 0, Outcome::WorkerError);
             rig.end_attempt(id, 1, Outcome::PrefillCompleted);
             rig.end_attempt(id, 2, Outcome::Completed);
@@ -192,7 +192,7 @@
         }
         rig.now += 10 * MS;
     }
-    assert!(bad <= 4, "{bad} of 39 first attempts went to the failing worker");
+    assert!(failed_attempts <= 4, "{failed_attempts} of 39 first attempts went to the failing worker");
 }
 
 #[test]
@@ -204,10 +204,11 @@
         rig.end_attempt(id, 1, Outcome::WorkerError);
         rig.now += 10 * MS;
     }
-    assert_eq!(send_targets(&rig.request(50, "idempotent")).len(), 1, "some worker is always used");
+    assert_eq!(send_targets(&rig.request(50, "idempotent")).len(), 1, "some worker must always be used");
 }
 
-/// Nothing of a request starts once its client has disconnected, from the router's own queue least of all.
+/// No attempt is sent for a request once its client has disconnected, in particular not from the router's
+/// queue.
 #[rstest]
 #[case::while_queued(0)]
 #[case::while_prefilling(1)]
@@ -216,26 +217,26 @@
     let mut rig = Rig::fleet(settings());
     let id = 200;
     if steps == 0 {
-        // Both prefill workers are out of service for a moment: the request is queued.
-        let gone = ["r1", "r2"].map(|w| endpoint(w, 0, WorkerStatus::Draining, None));
-        rig.update_endpoints(UpdateKind::Delta, gone.to_vec());
+        // Both prefill workers are draining for a moment, so the request is queued.
+        let draining = ["r1", "r2"].map(|w| endpoint(w, 0, WorkerStatus::Draining, None));
+        rig.update_endpoints(UpdateKind::Delta, draining.to_vec());
     }
     rig.request(id, "idempotent");
     if steps == 2 {
-        // No decode worker takes it: its KV cache waits at the prefill worker.
-        let gone = ["w1", "w2", "w3"].map(|w| endpoint(w, 0, WorkerStatus::Draining, None));
-        rig.update_endpoints(UpdateKind::Delta, gone.to_vec());
+        // No decode worker is ready, so the KV cache is held at the prefill worker.
+        let draining = ["w1", "w2", "w3"].map(|w| endpoint(w, 0, WorkerStatus::Draining, None));
+        rig.update_endpoints(UpdateKind::Delta, draining.to_vec());
         rig.end_attempt(id, 0, Outcome::PrefillCompleted);
     }
     rig.handle(Event::ClientDisconnected { request: RequestId(id) });
-    let before = rig.actions.len();
-    let back = ["r1", "r2", "w1", "w2", "w3"].map(|w| endpoint(w, 0, WorkerStatus::Ready, None));
-    rig.update_endpoints(UpdateKind::Delta, back.to_vec());
+    let actions_before = rig.actions.len();
+    let ready = ["r1", "r2", "w1", "w2", "w3"].map(|w| endpoint(w, 0, WorkerStatus::Ready, None));
+    rig.update_endpoints(UpdateKind::Delta, ready.to_vec());
     if steps == 1 {
         rig.end_attempt(id, 0, Outcome::PrefillCompleted);
     }
     rig.pass_time(SECOND);
-    assert!(send_targets(&rig.actions[before..]).is_empty());
+    assert!(send_targets(&rig.actions[actions_before..]).is_empty());
     assert_eq!(cache_release_count(&rig.actions) > 0, steps > 0);
 }
 
@@ -245,33 +246,33 @@
     assert!(rig.update_endpoints(UpdateKind::Restored, Vec::new()).contains(&Action::WatchEndpoints));
     assert!(
         !rig.update_endpoints(UpdateKind::Unavailable, Vec::new()).contains(&Action::WatchEndpoints),
-        "not at once"
+        "not immediately"
     );
-    let again = rig.pass_time(2 * SECOND);
-    assert_eq!(again.iter().filter(|a| **a == Action::WatchEndpoints).count(), 1);
+    let renewed = rig.pass_time(2 * SECOND);
+    assert_eq!(renewed.iter().filter(|a| **a == Action::WatchEndpoints).count(), 1);
 }
 
-/// A worker that rejects one tenant is used for the others, and not retried at once for that tenant.
+/// A worker that has rejected a request of one tenant is avoided for that tenant and used for the others.
 #[test]
 fn a_rejection_of_one_tenant_does_not_affect_the_others() {
     let mut rig = Rig::fleet(settings());
-    let of = |id, tenant: &str, now| RequestSpec {
+    let request_of = |id, tenant: &str, now| RequestSpec {
         request: RequestId(id),
         tenant: Some(tenant.to_owned()),
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
         ..request_spec(now, "idempotent")
     };
-    let home = send_targets(&rig.receive(of(1, "a", rig.now)))[0].to_owned();
+    let home = send_targets(&rig.receive(request_of(1, "a", rig.now)))[0].to_owned();
     let retry = rig.end_attempt(1, 0, Outcome::Rejected);
     assert_ne!(send_targets(&retry), [home.as_str()]);
-    assert_eq!(send_targets(&rig.receive(of(2, "b", rig.now))), [home.as_str()]);
-    assert_ne!(send_targets(&rig.receive(of(3, "a", rig.now))), [home.as_str()]);
+    assert_eq!(send_targets(&rig.receive(request_of(2, "b", rig.now))), [home.as_str()]);
+    assert_ne!(send_targets(&rig.receive(request_of(3, "a", rig.now))), [home.as_str()]);
 }
 
-/// One slow answer, the first that a router gets of a worker, does not make it a slow worker.
+/// A single late response, the first from a new worker, must not mark the worker as slow.
 #[test]
-fn one_late_answer_does_not_make_a_worker_slow() {
+fn a_single_late_response_does_not_mark_a_worker_as_slow() {
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|a| if let Action::Send { timeout, .. } = a { *timeout } else { None })
     };
@@ -287,7 +288,7 @@
         rig.end_attempt(id, 1, Outcome::Completed);
     }
     rig.update_endpoints(UpdateKind::Delta, vec![endpoint("r2", 0, WorkerStatus::Ready, None)]);
-    let mut seen = Vec::new();
+    let mut timeouts = Vec::new();
     for id in 100..140 {
         let session = Some(Arc::from(format!("s{id}")));
         let received = rig.receive(RequestSpec {
@@ -295,23 +296,29 @@
             session,
             ..request_spec(rig.now, "idempotent")
         });
-        let new = send_targets(&received) == ["r2"];
-        if new {
-            seen.push(timeout(&received));
+        let is_new_worker = send_targets(&received) == ["r2"];
+        if is_new_worker {
+            timeouts.push(timeout(&received));
         }
-        rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, if new { 800 * MS } else { 50 * MS });
+        rig.end_attempt_after(
+            id,
+            0,
+            Outcome::PrefillCompleted,
+            if is_new_worker { 800 * MS } else { 50 * MS },
+        );
         rig.end_attempt(id, 1, Outcome::Completed);
-        if seen.len() == 2 {
+        if timeouts.len() == 2 {
             break;
         }
     }
-    let [Some(before), Some(after)] = seen[..] else { panic!("{seen:?}") };
-    assert!(after < before * 3, "as if it were slow: {before} then {after}");
+    let [Some(before), Some(after)] = timeouts[..] else { panic!("{timeouts:?}") };
+    assert!(after < before * 3, "timeout extended as for a slow worker: {before} then {after}");
 }
 
-/// Guards against KV caches left by prefills that completed just as they timed out or their connection broke.
+/// A prefill may complete just as it times out or its connection breaks. The KV cache that it leaves at the
+/// worker must be released.
 #[test]
-fn a_failed_prefill_is_released_before_the_next_attempt() {
+fn the_cache_of_a_failed_prefill_is_released_before_the_next_attempt() {
     for outcome in [Outcome::TimedOut, Outcome::ConnectionLost, Outcome::WorkerError] {
         let mut rig = Rig::fleet(settings());
         rig.request(1, "non-idempotent");
@@ -322,15 +329,15 @@
     }
 }
 
-/// A KV cache is handed over although its prefill worker is draining; once that worker is removed, or the decode worker
-/// finds no cache, the prompt is prefilled again, and no cache is held for longer than its limit.
+/// A decode worker fetches the KV cache of a prefill worker that is draining or was removed. If it finds no
+/// cache, the prompt is prefilled again at another worker, and the request still gets its response.
 #[rstest]
 #[case::draining(WorkerStatus::Draining)]
 #[case::removed(WorkerStatus::Gone)]
-fn a_prefill_worker_that_leaves_after_its_prefill_costs_no_answer(#[case] status: WorkerStatus) {
+fn a_prefill_worker_that_leaves_after_its_prefill_costs_no_response(#[case] status: WorkerStatus) {
     let mut rig = Rig::fleet(settings());
     let prefill_worker = send_targets(&rig.request(1, "non-idempotent"))[0].to_owned();
-    // No decode worker is ready at first: the KV cache waits while the prefill worker leaves.
+    // No decode worker is ready at first, so the KV cache is held while the prefill worker leaves.
     let decode_workers = ["w1", "w2", "w3"];
     rig.update_endpoints(
         UpdateKind::Delta,
@@ -338,16 +345,16 @@
     );
     rig.end_attempt(1, 0, Outcome::PrefillCompleted);
     rig.update_endpoints(UpdateKind::Delta, vec![endpoint(&prefill_worker, 0, status, None)]);
-    let handed = rig.update_endpoints(
+    let decode_sent = rig.update_endpoints(
         UpdateKind::Delta,
         decode_workers.map(|w| endpoint(w, 0, WorkerStatus::Ready, None)).to_vec(),
     );
-    assert!(send_targets(&handed)[0].starts_with('w'), "{handed:?}");
-    let again = rig.end_attempt(1, 1, Outcome::CacheMissing);
-    let second = send_targets(&again)[0].to_owned();
-    assert!(second.starts_with('r') && second != prefill_worker, "{again:?}");
-    let handed = rig.end_attempt(1, 2, Outcome::PrefillCompleted);
-    assert!(send_targets(&handed)[0].starts_with('w'), "{handed:?}");
+    assert!(send_targets(&decode_sent)[0].starts_with('w'), "{decode_sent:?}");
+    let prefill_retry = rig.end_attempt(1, 1, Outcome::CacheMissing);
+    let second = send_targets(&prefill_retry)[0].to_owned();
+    assert!(second.starts_with('r') && second != prefill_worker, "{prefill_retry:?}");
+    let decode_sent = rig.end_attempt(1, 2, Outcome::PrefillCompleted);
+    assert!(send_targets(&decode_sent)[0].starts_with('w'), "{decode_sent:?}");
     rig.end_attempt(1, 3, Outcome::Completed);
     rig.pass_time(2 * SECOND);
     assert_eq!(final_answer_count(&rig.actions), 0, "rejected or failed");
--- a/tests/policy_admission.rs
+++ b/tests/policy_admission.rs
@@ -1,4 +1,4 @@
-//! What the policy starts, queues and rejects, and the timeouts of prefills.
+//! Admission of requests by the policy: starting, queueing and rejecting them, and the timeouts of prefills.
 
 #[path = "support/rig.rs"]
 mod rig;
@@ -8,30 +8,31 @@
 use std::sync::Arc;
 
 #[test]
-fn prefills_beyond_their_share_of_the_objective_are_queued_and_rejected_in_time() {
+fn prefills_beyond_their_share_of_the_objective_are_queued_and_then_rejected() {
     let mut rig = Rig::fleet(settings());
-    // Teach a slow prefill: 2,000 tokens take 600 ms.
+    // The policy learns slow prefills: 2,000 tokens take 600 ms.
     for id in 1..20 {
         rig.request(id, "idempotent");
         rig.now += 600 * MS;
         rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, 600 * MS);
         rig.end_attempt(id, 1, Outcome::Completed);
     }
-    let before = send_targets(&rig.actions).len();
+    let sent_before = send_targets(&rig.actions).len();
     for id in 100..120 {
         rig.request(id, "idempotent");
     }
-    let out = send_targets(&rig.actions).len() - before;
-    assert!(out <= 4, "{out} prefills in flight at two slow workers");
+    let sent = send_targets(&rig.actions).len() - sent_before;
+    assert!(sent <= 4, "{sent} prefills in flight at two slow workers");
     let received_at = rig.now;
     rig.pass_time(SECOND);
     let rejected = final_answer_count(&rig.actions);
     assert!(rejected >= 14, "only {rejected} were rejected within {} us", rig.now - received_at);
-    let advice = |a: &Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0);
-    assert!(rig.actions.iter().filter(|a| matches!(a, Action::Reject { .. })).all(advice));
+    let has_retry_after = |a: &Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0);
+    assert!(rig.actions.iter().filter(|a| matches!(a, Action::Reject { .. })).all(has_retry_after));
 }
 
-/// Without load no session is rejected, whatever its prompts are: each request ends before the next one comes.
+/// Each request ends before the next one arrives, so none is rejected, whatever its session, class and prompt
+/// length.
 #[test]
 fn no_session_is_rejected_while_there_is_capacity() {
     let mut rig = Rig::fleet(settings());
@@ -54,12 +55,13 @@
     assert_eq!(send_targets(&rig.actions).len(), 1200);
 }
 
-/// Guards against an admission that singles out long prompts: one that takes longer than its latency objective by itself
-/// is late wherever it goes, which is no reason to reject it while a prefill worker has capacity for it.
+/// Guards against admission control that rejects all long prompts. A prompt whose unloaded latency exceeds
+/// its objective is late at any worker, and should still be served while a prefill worker has capacity for
+/// it.
 #[test]
 fn a_long_prompt_is_not_rejected_while_there_is_capacity() {
     let mut rig = Rig::fleet(settings());
-    // Teach the latency: 2,000 tokens take 100 ms.
+    // The policy learns the latency: 2,000 tokens take 100 ms.
     for id in 1..40 {
         rig.request(id, "idempotent");
         rig.now += 100 * MS;
@@ -70,26 +72,26 @@
     for id in 100..106 {
         rig.request(id, "idempotent");
     }
-    let long = request_spec(rig.now, "idempotent");
+    let ordinary = request_spec(rig.now, "idempotent");
     let long = RequestSpec {
         request: RequestId(200),
         prompt_tokens: 60_000,
         deadline: rig.now + 8 * SECOND,
-        ..long
+        ..ordinary
     };
     let mut actions = rig.receive(long);
     actions.extend(rig.pass_time(100 * MS));
     for id in 100..106 {
         actions.extend(rig.end_attempt(id, 0, Outcome::PrefillCompleted));
     }
-    let rejected = |a: &Action| matches!(a, Action::Reject { request: RequestId(200), .. });
-    let sent = |a: &Action| matches!(a, Action::Send { request: RequestId(200), .. });
-    assert!(!actions.iter().any(rejected) && actions.iter().any(sent), "{actions:?}");
+    let is_rejection = |a: &Action| matches!(a, Action::Reject { request: RequestId(200), .. });
+    let is_send = |a: &Action| matches!(a, Action::Send { request: RequestId(200), .. });
+    assert!(!actions.iter().any(is_rejection) && actions.iter().any(is_send), "{actions:?}");
 }
 
+/// In an incident, clients gave up sooner than a prefill takes, and every prefill was wasted.
 #[test]
-fn what_cannot_start_before_its_client_gives_up_is_rejected_at_once() {
-    // Found in an incident: clients gave up sooner than a prefill takes, and every prefill was wasted.
+fn a_request_that_cannot_start_before_its_deadline_is_rejected_immediately() {
     let mut rig = Rig::fleet(settings());
     for id in 1..5 {
         rig.request(id, "idempotent");
@@ -97,19 +99,19 @@
         rig.end_attempt_after(id, 0, Outcome::PrefillCompleted, 300 * MS);
         rig.end_attempt(id, 1, Outcome::Completed);
     }
-    // One request is in flight already, so this one isn't needed to learn latencies from.
+    // With another request in flight, this one is not admitted just to learn latencies from it.
     rig.request(50, "idempotent");
-    let hasty = RequestSpec {
+    let short_deadline = RequestSpec {
         request: RequestId(51),
         deadline: rig.now + 150 * MS,
         ..request_spec(rig.now, "idempotent")
     };
-    let actions = rig.receive(hasty);
+    let actions = rig.receive(short_deadline);
     assert_eq!((send_targets(&actions).len(), final_answer_count(&actions)), (0, 1), "{actions:?}");
 }
 
 #[test]
-fn a_tenant_beyond_its_quota_is_rejected_when_others_wait() {
+fn requests_over_quota_are_rejected_when_there_is_no_capacity() {
     let tenants = vec![Tenant { name: "small".into(), quota_per_s: 2.0 }];
     let mut rig = Rig::fleet(Settings { tenants, ..settings() });
     for id in 1..5 {
@@ -123,12 +125,13 @@
         rig.receive(RequestSpec { request: RequestId(id), tenant, ..request_spec(rig.now, "idempotent") });
     }
     let rejected = final_answer_count(&rig.actions);
-    assert!(rejected >= 10, "only {rejected} of thirty at once, far beyond the quota, were rejected");
+    assert!(rejected >= 10, "only {rejected} of 30 simultaneous requests, far over quota, were rejected");
 }
 
-/// A hundred routers each receive a few requests of a tenant: chance arrivals are no excess.
+/// With hundreds of routers, each router's share of a quota is tiny, and a few requests at once may arrive at
+/// one router by chance.
 #[test]
-fn a_few_requests_at_once_are_within_quota_at_one_of_many_routers() {
+fn a_few_simultaneous_requests_are_within_quota_at_one_of_many_routers() {
     let tenants = vec![Tenant { name: "small".into(), quota_per_s: 2.0 }];
     let mut rig = Rig::fleet(Settings { replica_count: 200, tenants, ..settings() });
     for id in 1..6 {
@@ -138,16 +141,16 @@
     assert_eq!(final_answer_count(&rig.actions), 0);
 }
 
-/// Found on the engines deployment: prompts so long that a prefill after a timeout comes too late anyway, while the
-/// first worker goes on with the one that was given up.
+/// Seen on the engines deployment: prompts so long that a retried prefill is too late anyway, while the first
+/// worker continues with the prefill that timed out.
 #[test]
-fn a_prefill_gets_more_time_where_another_one_would_be_late_too() {
-    let timeout = |first_token_objective_per_1000_tokens, reports| {
+fn a_prefill_gets_more_time_if_a_retry_would_be_late_too() {
+    let timeout = |first_token_objective_per_1000_tokens, load_reporting| {
         let classes = vec![Class {
             first_token_objective_per_1000_tokens,
             ..class("idempotent", Idempotency::Idempotent)
         }];
-        let mut rig = Rig::fleet(Settings { classes, load_reporting: reports, ..settings() });
+        let mut rig = Rig::fleet(Settings { classes, load_reporting, ..settings() });
         let deadline = rig.now + 8 * SECOND;
         let sent = rig.receive(RequestSpec {
             prompt_tokens: 8_000,
@@ -159,16 +162,18 @@
             _ => None,
         })
     };
-    // 8,000 tokens grant 1.2 s more: after two thirds of the objective, another whole prefill is too late for it.
+    // 8,000 tokens extend the objective by 1.2 s. After two thirds of it, a retry of the whole prefill is too
+    // late.
     assert_eq!(timeout(150 * MS, LoadReporting::None), Some(8 * SECOND - 1_200 * MS));
-    // Of an objective of 1.08 s another prefill takes 80 ms.
+    // The objective is 1.08 s, of which a retried prefill takes 80 ms.
     assert_eq!(timeout(10 * MS, LoadReporting::None), Some(720 * MS));
-    // Where prefill workers report their queues, a long wait shows a worker that hangs.
+    // If prefill workers report their queues, a long wait indicates a worker that hangs.
     assert_eq!(timeout(150 * MS, LoadReporting::Responses), Some(2_200 * MS / 3));
 }
 
-/// Found in ticket5632: where every prefill takes longer than its timeout, workers process prompts for nobody. The least
-/// timeout has to grow, too, and to shrink again as prefills complete.
+/// Regression test for ticket5632: if every prefill takes longer than its timeout, workers process only
+/// prompts that the router no longer waits for. The minimum timeout must grow, too, and shrink again as
+/// prefills complete.
 #[test]
 fn prefill_timeouts_extend_the_next_timeout_until_prefills_complete_again() {
     let mut rig = Rig::fleet(settings());
@@ -179,26 +184,26 @@
             deadline: rig.now + 60 * SECOND,
             ..request_spec(rig.now, "idempotent")
         });
-        let timeouts = sent.iter().find_map(|a| match a {
+        let timeout = sent.iter().find_map(|a| match a {
             Action::Send { timeout, .. } => *timeout,
             _ => None,
         });
         rig.end_attempt(id, 0, outcome);
         rig.handle(Event::ClientDisconnected { request });
-        timeouts.unwrap()
+        timeout.unwrap()
     };
-    let floor = timeout(&mut rig, 1, Outcome::PrefillCompleted);
-    assert_eq!(timeout(&mut rig, 2, Outcome::TimedOut), floor);
-    assert!(timeout(&mut rig, 3, Outcome::TimedOut) >= 2 * floor);
-    assert!(timeout(&mut rig, 4, Outcome::PrefillCompleted) >= 4 * floor);
+    let min_timeout = timeout(&mut rig, 1, Outcome::PrefillCompleted);
+    assert_eq!(timeout(&mut rig, 2, Outcome::TimedOut), min_timeout);
+    assert!(timeout(&mut rig, 3, Outcome::TimedOut) >= 2 * min_timeout);
+    assert!(timeout(&mut rig, 4, Outcome::PrefillCompleted) >= 4 * min_timeout);
     timeout(&mut rig, 5, Outcome::PrefillCompleted);
-    assert_eq!(timeout(&mut rig, 6, Outcome::PrefillCompleted), floor);
+    assert_eq!(timeout(&mut rig, 6, Outcome::PrefillCompleted), min_timeout);
 }
 
-/// Found in a release that left two of eight decode workers warm: requests went from one congested worker to the next
-/// until their clients gave up, and made all others late.
+/// When a rolling release left only two of eight decode workers warm, late requests were retried at one
+/// congested worker after another until their clients gave up, and delayed all others.
 #[test]
-fn a_late_request_is_rejected_as_soon_as_its_decode_times_out() {
+fn a_late_request_is_rejected_when_its_decode_times_out() {
     for (waited, is_retried) in [(200 * MS, true), (SECOND, false)] {
         let mut rig = Rig::fleet(settings());
         rig.request(1, "idempotent");
@@ -209,7 +214,7 @@
         assert_eq!(final_answer_count(&next), usize::from(!is_retried), "after {waited} us");
         assert_eq!(next.contains(&Action::ReleaseCache { request: RequestId(1) }), !is_retried);
     }
-    // A request that is late for another reason still gets a decode worker.
+    // A request that is late for another reason is still sent to a decode worker.
     let mut rig = Rig::fleet(settings());
     rig.request(1, "idempotent");
     rig.now += SECOND;
