--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -18,7 +18,7 @@
 pub(super) struct DecisionContext<'a> {
     /// The settings of the deployment.
     pub settings: &'a Settings,
-    /// This router's seed.
+    /// The seed of this router's hashes.
     pub seed: u64,
     /// The present time.
     pub now: Micros,
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -199,8 +199,8 @@
         if let Some(worker) = self.membership.activity_mut(&attempt.worker) {
             worker.in_flight.remove(&(id, end.attempt));
         }
-        let is_closing = end.request_finished || matches!(request.phase(), RequestPhase::Closed);
-        if is_closing && outcome != Outcome::Completed {
+        let is_finished = end.request_finished || matches!(request.phase(), RequestPhase::Closed);
+        if is_finished && outcome != Outcome::Completed {
             // The attempt may have left a KV cache or a slot behind, even if it was cancelled or late.
             request.assume_cache_at(attempt.worker.clone(), self.now);
         }
@@ -209,15 +209,14 @@
         self.record_load_report(&attempt.worker, end.report);
         if attempt.stage == Stage::Prefill {
             self.gossip_queue_change(&attempt.worker, -attempt.tokens, out);
-            // The prefill may have completed just as it timed out or its connection broke, and left a KV
-            // cache.
+            // It may have completed just as it timed out or lost its connection, and left a KV cache.
             if !outcome.had_no_effect() {
                 out.push(Action::ReleaseCache { request: id });
             }
         }
         let ended = EndedAttempt { attempt, outcome, elapsed: end.elapsed, uncached_tokens, traffic };
         self.feedback().attempt_ended(&ended);
-        if is_closing {
+        if is_finished {
             self.close(id, out);
         } else {
             self.advance(id, out);
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -159,8 +159,8 @@
         TrafficKey { class_index: self.class_index, tenant: self.spec.tenant.clone() }
     }
 
-    /// Expected number of output tokens, which the decode adds to the KV cache: the client's estimate if
-    /// there is one, otherwise half of `max_tokens`.
+    /// Expected number of output tokens, which the decode adds to the KV cache: the client's estimate, at
+    /// most `max_tokens`; without an estimate, half of `max_tokens`.
     pub fn expected_output_tokens(&self, class: &Class) -> f64 {
         let half = self.spec.max_tokens as f64 / 2.0;
         match self.spec.expected_decode_time {
@@ -216,8 +216,7 @@
         let cache = match outcome {
             Outcome::PrefillCompleted => Some(HeldCache { worker: ended.worker.clone(), idle_since: now }),
             Outcome::CacheMissing => None,
-            // The attempt reached no worker and can't have fetched the cache, so the hold limit keeps
-            // running.
+            // The attempt reached no worker, so the cache was not fetched and the hold limit keeps running.
             Outcome::ConnectFailed | Outcome::NotSent => held,
             _ => held.map(|cache| HeldCache { idle_since: now, ..cache }),
         };
