--- a/src/hashing.rs
+++ b/src/hashing.rs
@@ -1,6 +1,6 @@
-//! Numbers drawn from hashes.
+//! Conversion of hashes to pseudo-random numbers.
 
-/// Maps a hash to a number between 0 and 1, excluding both.
+/// Maps a hash to a number in the open interval (0, 1).
 pub(crate) fn unit_interval(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -72,7 +72,7 @@
 /// worker that hangs or is cut off shows itself by those.
 fn is_healthy(context: DecisionContext<'_>, worker: &Worker, activity: &WorkerActivity) -> bool {
     let outlier = &activity.outlier;
-    let is_overdue = |a: &TrackedAttempt| a.due_at <= context.now && outlier.is_silent_since(a.sent_at);
+    let is_overdue = |a: &TrackedAttempt| a.due_at <= context.now && outlier.has_no_success_since(a.sent_at);
     let makes_suspect =
         |a: &TrackedAttempt| a.started_at.is_none() && (outlier.is_suspect() || is_overdue(a));
     !outlier.is_ejected(context.now) && !context.in_flight_at(worker).any(makes_suspect)
--- a/src/policy/latency_model.rs
+++ b/src/policy/latency_model.rs
@@ -1,35 +1,35 @@
-//! What this router has learned of how long work takes, in microseconds for each token of work.
+//! Latencies learned from the attempts of this router, in microseconds per token of work.
 
 use super::MAX_BACKOFF_DOUBLINGS;
 use super::statistics::MovingAverage;
 use super::worker::Distance;
 use crate::interface::{Micros, Stage};
 
-/// An attempt that hangs says little of its peers: a sample counts as this many times the average at most.
+/// Samples are limited to this multiple of the average, since an attempt that hangs is not representative.
 const MAX_SAMPLE_OVER_AVERAGE: f64 = 2.0;
 
-/// Learned times and sizes, over all workers.
+/// Moving averages of latencies and prompt sizes over all workers.
 #[derive(Default)]
 pub(super) struct LatencyModel {
     prefill_time_per_token: MovingAverage,
-    /// By `Distance as usize`.
+    /// Indexed by `Distance as usize`.
     decode_times_per_token: [MovingAverage; 3],
     first_token_time_per_token: MovingAverage,
     uncached_tokens: MovingAverage,
     prompt_tokens: MovingAverage,
 }
 
-/// What a measured time is of.
+/// The kind of a latency measurement.
 #[derive(Clone, Copy)]
 pub(super) enum LatencyKind {
-    /// A prefill.
+    /// Time of a prefill.
     Prefill,
-    /// A decode's first token, after the KV cache has travelled this far.
+    /// Time to the first token of a decode, after a transfer of the KV cache over this distance.
     FirstToken(Distance),
 }
 
 impl LatencyKind {
-    /// The kind of an attempt at this stage.
+    /// Returns the kind of measurement that an attempt at this stage provides.
     pub fn of(stage: Stage, distance: Distance) -> Self {
         match stage {
             Stage::Prefill => LatencyKind::Prefill,
@@ -39,43 +39,44 @@
 }
 
 impl LatencyModel {
-    /// Time of a prefill, for each token of its work.
+    /// Returns the average time of a prefill per token of work.
     pub fn prefill_time_per_token(&self) -> MovingAverage {
         self.prefill_time_per_token
     }
 
-    /// Time to a decode's first token over all distances, for each token of its work.
+    /// Returns the average time to the first token of a decode per token of work, over all distances.
     pub fn first_token_time_per_token(&self) -> MovingAverage {
         self.first_token_time_per_token
     }
 
-    /// Prompt tokens of a prefill that its worker did not find cached.
+    /// Returns the average number of uncached prompt tokens of a prefill.
     pub fn uncached_tokens(&self) -> MovingAverage {
         self.uncached_tokens
     }
 
-    /// Prompt tokens of a request.
+    /// Returns the average number of prompt tokens of a request.
     pub fn prompt_tokens(&self) -> MovingAverage {
         self.prompt_tokens
     }
 
-    /// Learns the size of a prompt that was received.
+    /// Records the size of a received prompt.
     pub fn record_prompt(&mut self, prompt_tokens: u64) {
         self.prompt_tokens.add(prompt_tokens as f64);
     }
 
-    /// Learns how much of a prompt was not cached.
+    /// Records the uncached tokens of a completed prefill.
     pub fn record_uncached_tokens(&mut self, tokens: f64) {
         self.uncached_tokens.add(tokens);
     }
 
-    /// Time to a decode's first token after the KV cache has travelled this far, for each token of its work.
+    /// Returns the average time to the first token of a decode per token of work, after a transfer of the KV
+    /// cache over this distance.
     pub fn decode_time_per_token(&self, distance: Distance) -> MovingAverage {
         self.decode_times_per_token[distance as usize]
     }
 
-    /// Learns from an attempt that took `elapsed` for `work` tokens. Returns the time that it took over the
-    /// time expected.
+    /// Records an attempt that took `elapsed` for `work` tokens. Returns the ratio of the elapsed time to the
+    /// average before this sample.
     pub fn record(&mut self, kind: LatencyKind, elapsed: Micros, work: f64) -> f64 {
         let average = match kind {
             LatencyKind::Prefill => &mut self.prefill_time_per_token,
@@ -92,7 +93,7 @@
     }
 }
 
-/// Recent timeouts of each stage: while there are some, the next attempts get longer timeouts.
+/// Backoff of attempt timeouts for each stage: recent timeouts lengthen the timeouts of later attempts.
 #[derive(Default)]
 pub(super) struct TimeoutBackoff {
     prefill: u32,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// How many times timeouts of this stage double.
+    /// Returns how many times the timeouts of this stage are doubled.
     pub fn doublings(&self, stage: Stage) -> u32 {
         match stage {
             Stage::Prefill => self.prefill,
@@ -115,13 +116,13 @@
         }
     }
 
-    /// Records a timeout. One of a stream that had started does not lengthen the next ones.
+    /// Records a timeout. A timeout of a stream that had started does not lengthen later timeouts.
     pub fn record_timeout(&mut self, stage: Stage, had_started: bool) {
         let doublings = self.doublings_mut(stage);
         *doublings = (*doublings + u32::from(!had_started)).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Records that an attempt at this stage succeeded.
+    /// Records a successful attempt at this stage.
     pub fn record_success(&mut self, stage: Stage) {
         let doublings = self.doublings_mut(stage);
         *doublings = doublings.saturating_sub(1);
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -165,7 +165,7 @@
             }
             let index = request.begin_attempt(attempt);
             worker.in_flight.insert((id, index));
-            worker.slow_start.spend();
+            worker.slow_start.take_permit();
         }
         if stage == Stage::Prefill {
             self.gossip(worker_id, tokens, out);
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -1,47 +1,50 @@
-//! Estimates of the load at workers, from this router's own attempts, reports, and other routers' gossip.
+//! Estimates the load of workers from this router's attempts, load reports and the gossip of other routers.
 
 use super::context::DecisionContext;
 use super::load_view::ReceivedReport;
-use super::statistics::decay;
+use super::statistics::decay_factor;
 use super::worker::Worker;
 use crate::interface::{LoadReport, Stage};
 
-/// Tokens that a report says to wait at a worker, and how far it is still trusted, between 0 and 1.
+/// Queue length from a worker's load report, with the confidence in it.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ReportedQueue {
-    /// The tokens.
+    /// Queued uncached prompt tokens.
     pub tokens: f64,
-    /// The trust; 0 without a report.
-    pub trust: f64,
+    /// Confidence between 0 and 1, which decreases with the age of the report; 0 without a report.
+    pub confidence: f64,
 }
 
-/// Load of workers, estimated from all sources.
+/// Estimates the load of workers from all sources.
 #[derive(Clone, Copy)]
 pub(super) struct LoadEstimator<'a> {
     context: DecisionContext<'a>,
 }
 
 impl<'a> LoadEstimator<'a> {
-    /// An estimator for one decision.
+    /// Creates an estimator for one decision.
     pub fn new(context: DecisionContext<'a>) -> Self {
         LoadEstimator { context }
     }
 
-    /// Prompt tokens that wait at a worker: this router's, those presumed by gossip and timeouts, and what is
-    /// reported. An old report decays to `average`, the average one, never to an empty queue that would draw
-    /// prompts away from where they are cached.
-    pub fn queued_tokens(&self, worker: &'a Worker, average: f64) -> f64 {
+    /// Estimates the prompt tokens queued at a worker: the sum of this router's prefills, the tokens presumed
+    /// from gossip and timeouts, and the reported queue.
+    ///
+    /// The estimate from an old report decays towards `mean_queue` rather than 0, because a queue that seems
+    /// empty would attract prompts that are cached elsewhere.
+    pub fn queued_tokens(&self, worker: &'a Worker, mean_queue: f64) -> f64 {
         let now = self.context.now;
         let own: f64 = (self.context.in_flight_at(worker))
             .filter(|attempt| attempt.stage == Stage::Prefill)
             .map(|attempt| attempt.tokens)
             .sum();
-        let ReportedQueue { tokens, trust } = self.reported_queue(worker);
+        let ReportedQueue { tokens, confidence } = self.reported_queue(worker);
         let presumed = worker.activity().map_or(0.0, |activity| activity.load.presumed_tokens(now));
-        own + presumed + trust * tokens + (1.0 - trust) * average
+        own + presumed + confidence * tokens + (1.0 - confidence) * mean_queue
     }
 
-    /// The queue that a worker has reported. Cached tokens are reported to wait, too, and are taken off here.
+    /// Returns the queue length that a worker has reported. Reports include cached tokens; the result is
+    /// reduced by the average share of cached tokens.
     pub fn reported_queue(&self, worker: &Worker) -> ReportedQueue {
         let report = worker.activity().and_then(|activity| activity.load.latest_report());
         let Some(received) = report else { return ReportedQueue::default() };
@@ -49,30 +52,33 @@
         let latency = self.context.latency;
         let prompt_tokens = latency.prompt_tokens().value_or(1.0).max(1.0);
         let uncached_share = latency.uncached_tokens().value_or(1.0) / prompt_tokens;
-        let trust = decay(self.context.now, received.received_at);
-        ReportedQueue { tokens: tokens * uncached_share.min(1.0), trust }
+        let confidence = decay_factor(self.context.now, received.received_at);
+        ReportedQueue { tokens: tokens * uncached_share.min(1.0), confidence }
     }
 
-    /// The projected share of a worker's memory in use, weighted by its slowness. The other routers are taken
-    /// to use as much as this one, less so the fresher a report there is.
-    pub fn projected_memory(&self, worker: &'a Worker) -> f64 {
+    /// Projects the memory utilization of a worker, weighted by its slowness.
+    ///
+    /// A fresh load report determines the result. As the report ages, and without one, the estimate assumes
+    /// that each other router uses as much of the worker's memory as this one.
+    pub fn projected_utilization(&self, worker: &'a Worker) -> f64 {
         let in_flight = || self.context.in_flight_at(worker);
         let own = in_flight().map(|attempt| attempt.tokens).sum::<f64>();
-        let guess = own * f64::from(self.context.settings.replica_count);
+        let extrapolated = own * f64::from(self.context.settings.replica_count);
         let report = worker.activity().and_then(|activity| activity.load.latest_report());
-        let projected = match report {
+        let projected_tokens = match report {
             Some(ReceivedReport {
                 received_at,
                 report: LoadReport { memory_utilization: Some(utilization), .. },
             }) => {
-                // As the report ages, other routers' attempts have changed the memory in use.
                 let sent_since: f64 =
                     in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.tokens).sum();
-                let trust = decay(self.context.now, received_at);
-                trust * (utilization * worker.memory_tokens + sent_since) + (1.0 - trust) * guess
+                // Other routers' attempts since the report are unknown, so its weight decreases with its age.
+                let confidence = decay_factor(self.context.now, received_at);
+                confidence * (utilization * worker.memory_tokens + sent_since)
+                    + (1.0 - confidence) * extrapolated
             }
-            _ => guess,
+            _ => extrapolated,
         };
-        projected / worker.memory_tokens * self.context.relative_slowness(worker)
+        projected_tokens / worker.memory_tokens * self.context.relative_slowness(worker)
     }
 }
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -1,43 +1,43 @@
-//! What is reported of the load at a worker, and what other routers gossip of it.
+//! Observed load of a worker: its own load reports and the gossip of other routers.
 
 use super::statistics::{DecayingSum, LOAD_HALF_LIFE};
 use crate::interface::{LoadReport, Micros};
 
-/// So few presumed tokens count as none.
+/// Presumed tokens below this number are treated as none.
 const NEGLIGIBLE_TOKENS: f64 = 1e-9;
 
-/// A load report and when it came.
+/// A load report with the time of its receipt.
 #[derive(Clone, Copy)]
 pub(super) struct ReceivedReport {
-    /// When it came.
+    /// Time of receipt.
     pub received_at: Micros,
-    /// What it says.
+    /// The report.
     pub report: LoadReport,
 }
 
-/// Whether a worker's load has to be asked for before it is sent a prefill.
+/// Whether a load report must be requested by a health check before a prefill is sent to a worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportNeed {
-    /// A fresh report is there, or the answer to a health check is overdue: go on with what is known.
+    /// A fresh report is available, or a health check is overdue. The prefill may be sent.
     Satisfied,
-    /// A health check is in progress: wait for its report.
+    /// A health check is in progress. The prefill has to wait for its report.
     Pending,
-    /// A health check ought to be sent.
+    /// No fresh report is available. A health check has to be sent.
     Missing,
 }
 
-/// The load at one worker, as it reports it and as other routers gossip.
+/// Load of one worker, as observed by this router.
 #[derive(Default)]
 pub(super) struct LoadView {
     report: Option<ReceivedReport>,
     health_check_sent_at: Option<Micros>,
-    /// Tokens that wait there according to other routers' gossip, and those presumed from this router's
-    /// own prefills that timed out.
+    /// Queued tokens according to the gossip of other routers, and those presumed from prefills of this
+    /// router that timed out.
     presumed_tokens: DecayingSum,
 }
 
 impl LoadView {
-    /// Records a load report. Values that are not finite or below zero count as not reported.
+    /// Records a load report. Values that are negative or not finite are treated as not reported.
     pub fn record_report(&mut self, now: Micros, report: LoadReport) {
         let valid = |value: Option<f64>| value.filter(|value| value.is_finite() && *value >= 0.0);
         let memory_utilization = valid(report.memory_utilization);
@@ -46,12 +46,13 @@
         self.report = Some(ReceivedReport { received_at: now, report });
     }
 
-    /// Adds tokens that are presumed to wait there by gossip or by a timeout; negative when they are done.
+    /// Adds queued tokens presumed from gossip or a timeout. The number is negative when they have been
+    /// processed.
     pub fn add_presumed_tokens(&mut self, now: Micros, tokens: f64) {
         self.presumed_tokens.add(now, tokens);
     }
 
-    /// Whether a report that came at `fresh_since` or later is known, pending, or missing.
+    /// Returns whether a report received at `fresh_since` or later is available, pending or missing.
     pub fn report_need(&self, now: Micros, fresh_since: Micros) -> ReportNeed {
         let received_at = self.report.map(|received| received.received_at);
         if received_at.is_some_and(|at| at >= fresh_since) {
@@ -71,22 +72,22 @@
         self.health_check_sent_at = Some(now);
     }
 
-    /// The latest report, if there was one.
+    /// Returns the latest report, if any.
     pub fn latest_report(&self) -> Option<ReceivedReport> {
         self.report
     }
 
-    /// Tokens that are presumed to wait there by gossip and timeouts.
+    /// Returns the queued tokens presumed from gossip and timeouts, decayed to `now`.
     pub fn presumed_tokens(&self, now: Micros) -> f64 {
         self.presumed_tokens.value_at(now)
     }
 
-    /// Whether nothing is known of the load, or no more than would make no difference.
+    /// Whether there is no load report and the presumed tokens are negligible.
     pub fn is_unknown(&self, now: Micros) -> bool {
         self.report.is_none() && self.presumed_tokens.value_at(now) < NEGLIGIBLE_TOKENS
     }
 
-    /// The reported share of its memory in use.
+    /// Returns the reported memory utilization.
     pub fn memory_utilization(&self) -> Option<f64> {
         self.report.and_then(|received| received.report.memory_utilization)
     }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -1,32 +1,34 @@
-//! The workers of the fleet, as discovery lists them.
+//! The workers of the fleet, from the endpoint list of discovery.
 //!
-//! What decisions need to know of the whole fleet is kept up to date with each change of one worker, so that
-//! neither a change nor a decision has to collect it.
+//! Aggregates over the fleet are updated incrementally with each change of a worker, so that neither an
+//! update nor a decision has to recompute them.
 
-use super::places::{LocalityShare, Location, Places};
 use super::slow_start_bucket::SlowStartBucket;
 use super::statistics::RunningMedian;
+use super::topology::{DecodeCapacityRatio, Location, Topology};
 use super::worker::{Worker, WorkerActivity};
 use crate::interface::{Endpoint, Micros, Role, Settings, UpdateKind, WorkerId, WorkerStatus};
 use std::collections::{BTreeSet, HashSet};
 
-/// The number of worker roles.
+/// Number of worker roles.
 pub(super) const ROLE_COUNT: usize = 3;
 
-/// How often it is looked which workers may rest.
-const REST_INTERVAL: Micros = 1_000_000;
+/// Minimum interval between two searches for workers that have become inactive.
+const DEACTIVATION_INTERVAL: Micros = 1_000_000;
 
-/// Memory of a worker, in tokens, where the deployment does not state it.
+/// KV cache memory of a worker in tokens, if the settings do not specify it.
 const DEFAULT_MEMORY_TOKENS: f64 = 1e6;
 
 /// The workers of one role.
 #[derive(Default)]
 struct RoleMembers {
-    /// In the order of their names, side by side: decisions go through all of them.
+    /// Sorted by id. Contiguous, because decisions iterate over all of them.
     workers: Vec<Worker>,
-    /// The slowness of all of them.
+    /// Median slowness of all workers.
     slowness: RunningMedian,
+    /// Number of workers in service.
     ready: usize,
+    /// Highest value of `ready` after an update.
     peak_ready: usize,
 }
 
@@ -43,7 +45,7 @@
         self.position(id).ok().map(|position| &mut self.workers[position])
     }
 
-    /// Adds a worker of a name that is not there.
+    /// Adds a worker whose id is not present yet.
     fn insert(&mut self, worker: Worker) {
         self.slowness.insert(worker.slowness());
         let position = self.position(&worker.id).unwrap_or_else(|position| position);
@@ -57,29 +59,29 @@
     }
 }
 
-/// All workers that are listed, and those removed ones at which attempts are still in flight.
+/// All listed workers, and removed workers that still have attempts in flight.
 #[derive(Default)]
 pub(super) struct Membership {
-    /// By `Role as usize`.
+    /// Indexed by `Role as usize`.
     roles: [RoleMembers; ROLE_COUNT],
-    places: Places,
-    /// Those that are listed no more.
+    topology: Topology,
+    /// Workers that are no longer listed.
     gone: BTreeSet<WorkerId>,
-    /// Those that are not at rest.
+    /// Workers that are not inactive.
     active: BTreeSet<WorkerId>,
-    /// When it was last looked which of them may rest.
-    rested_at: Micros,
-    /// Until when some worker may be in its slow start.
+    /// Time of the last search for workers that have become inactive.
+    last_deactivation: Micros,
+    /// Latest end of the slow start of any worker.
     slow_start_until: Micros,
 }
 
 impl Membership {
-    /// The worker of this name.
+    /// Returns the worker with this id.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
         self.roles.iter().find_map(|members| members.get(id))
     }
 
-    /// What was learned of the worker of this name, to be changed. The worker is not at rest from here on.
+    /// Marks the worker with this id as active and returns its activity for modification.
     pub fn activity_mut(&mut self, id: &WorkerId) -> Option<&mut WorkerActivity> {
         let Membership { roles, active, .. } = self;
         let worker = roles.iter_mut().find_map(|members| members.get_mut(id))?;
@@ -89,25 +91,31 @@
         Some(worker.activity_mut())
     }
 
-    /// Lets all workers rest that need no attention, but those that `is_in_use` names. Does so now and then.
-    pub fn rest(&mut self, settings: &Settings, now: Micros, is_in_use: impl Fn(&WorkerId) -> bool) {
-        if now < self.rested_at + REST_INTERVAL {
+    /// Marks idle workers as inactive, except those for which `is_in_use` returns true.
+    /// Does nothing within [`DEACTIVATION_INTERVAL`] of the previous search.
+    pub fn deactivate_idle(
+        &mut self,
+        settings: &Settings,
+        now: Micros,
+        is_in_use: impl Fn(&WorkerId) -> bool,
+    ) {
+        if now < self.last_deactivation + DEACTIVATION_INTERVAL {
             return;
         }
-        self.rested_at = now;
+        self.last_deactivation = now;
         let Membership { roles, active, .. } = self;
         active.retain(|id| {
             let worker = roles.iter_mut().find_map(|members| members.get_mut(id));
-            worker.is_some_and(|worker| is_in_use(id) || !worker.rest_if_ordinary(settings, now))
+            worker.is_some_and(|worker| is_in_use(id) || !worker.deactivate_if_idle(settings, now))
         });
     }
 
-    /// All workers, those of one role in the order of their names.
+    /// Iterates over all workers, grouped by role and sorted by id within a role.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.roles.iter().flat_map(|members| &members.workers)
     }
 
-    /// The workers that are in their slow start, to be changed.
+    /// Iterates over the active workers in slow start, for modification.
     pub fn slow_starting_mut(
         &mut self,
         settings: &Settings,
@@ -117,37 +125,38 @@
         workers.filter(move |worker| worker.activity().is_some_and(|a| a.slow_start.is_active(settings, now)))
     }
 
-    /// The workers of a role that are in service, in the order of their names.
+    /// Iterates over the workers of a role that are in service, sorted by id.
     pub fn ready(&self, role: Role) -> impl Iterator<Item = &Worker> {
         self.roles[role as usize].workers.iter().filter(|worker| worker.is_ready())
     }
 
-    /// How many workers of a role are in service.
+    /// Returns the number of workers of a role that are in service.
     pub fn ready_count(&self, role: Role) -> usize {
         self.roles[role as usize].ready
     }
 
-    /// The most workers of each role, by `Role as usize`, that were seen in service at once.
+    /// Returns the highest number of workers in service at the same time for each role, indexed by
+    /// `Role as usize`.
     pub fn peak_ready(&self) -> [usize; ROLE_COUNT] {
         self.roles.each_ref().map(|members| members.peak_ready)
     }
 
-    /// The number of zones in which workers are listed.
+    /// Returns the number of zones with listed workers.
     pub fn zone_count(&self) -> usize {
-        self.places.zone_count()
+        self.topology.zone_count()
     }
 
-    /// How far KV caches stay in the cell and the zone of a worker.
-    pub fn locality_share(&self, worker: &Worker) -> LocalityShare {
-        self.places.locality_share(&worker.location)
+    /// Returns the decode capacity ratio of a worker's cell and zone.
+    pub fn decode_capacity_ratio(&self, worker: &Worker) -> DecodeCapacityRatio {
+        self.topology.decode_capacity_ratio(&worker.location)
     }
 
-    /// The median slowness of a role's workers.
+    /// Returns the median slowness of the workers of a role.
     pub fn median_slowness(&self, role: Role) -> f64 {
         self.roles[role as usize].slowness.median()
     }
 
-    /// Records the time that an attempt at a worker took over the time that it takes on average.
+    /// Records the ratio of an attempt's elapsed time to the average time of such attempts.
     pub fn record_slowness(&mut self, id: &WorkerId, ratio: f64) {
         for members in &mut self.roles {
             let Ok(position) = members.position(id) else { continue };
@@ -158,15 +167,15 @@
         }
     }
 
-    /// Whether some worker may be in its slow start.
+    /// Whether any worker may be in slow start.
     pub fn has_slow_starts(&self, now: Micros) -> bool {
         now < self.slow_start_until
     }
 
-    /// Takes an update of the endpoint list in. Returns the workers whose process is not the one known
-    /// before.
+    /// Applies an update of the endpoint list. Returns the workers with a new process: newly listed ones and
+    /// restarted ones.
     ///
-    /// A removed worker stays known while `has_attempt_in_flight` says so.
+    /// A removed worker is retained while `has_attempt_in_flight` returns true for it.
     pub fn apply_update(
         &mut self,
         kind: UpdateKind,
@@ -179,104 +188,107 @@
             let known: Vec<WorkerId> = self.iter().map(|worker| worker.id.clone()).collect();
             known.iter().for_each(|id| self.mark_gone(id));
         }
-        let mut restarted = HashSet::new();
+        let mut new_processes = HashSet::new();
         for endpoint in endpoints {
-            restarted.extend(self.apply_endpoint(endpoint, settings, now));
+            new_processes.extend(self.apply_endpoint(endpoint, settings, now));
         }
         for members in &mut self.roles {
             members.peak_ready = members.peak_ready.max(members.ready);
         }
-        self.forget_gone(has_attempt_in_flight);
-        restarted
+        self.purge_gone(has_attempt_in_flight);
+        new_processes
     }
 
     fn mark_gone(&mut self, id: &WorkerId) {
         let Some(worker) = self.get(id) else { return };
         let (weight, location) = (worker.weight, worker.location.clone());
-        self.set_listing(id, WorkerStatus::Gone, weight, location);
+        self.update_listing(id, WorkerStatus::Gone, weight, location);
     }
 
-    fn forget_gone(&mut self, has_attempt_in_flight: impl Fn(&Worker) -> bool) {
-        let is_idle = |id: &&WorkerId| self.get(id).is_none_or(|worker| !has_attempt_in_flight(worker));
-        let idle: Vec<WorkerId> = self.gone.iter().filter(is_idle).cloned().collect();
-        for id in idle {
+    /// Drops workers that are no longer listed and have no attempts in flight.
+    fn purge_gone(&mut self, has_attempt_in_flight: impl Fn(&Worker) -> bool) {
+        let is_unused = |id: &&WorkerId| self.get(id).is_none_or(|worker| !has_attempt_in_flight(worker));
+        let unused: Vec<WorkerId> = self.gone.iter().filter(is_unused).cloned().collect();
+        for id in unused {
             self.remove(&id);
         }
     }
 
-    /// Takes one endpoint in. Returns its worker if its process is not the one known before: nothing is known
-    /// of that one, and it warms up if it started lately.
+    /// Applies one endpoint. Returns its worker if the process is new. A new process has no measurements, and
+    /// is in slow start if it started recently.
     fn apply_endpoint(&mut self, endpoint: Endpoint, settings: &Settings, now: Micros) -> Option<WorkerId> {
         let kind = settings.worker_kinds.iter().find(|kind| kind.name == endpoint.kind);
         let role = kind.map_or(Role::Unified, |kind| kind.role);
-        let stated_memory = kind.and_then(|kind| kind.memory_tokens);
-        let memory_tokens = stated_memory.map_or(DEFAULT_MEMORY_TOKENS, |tokens| tokens.max(1) as f64);
-        let valid_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
-        let weight = if valid_weight { endpoint.weight } else { 1.0 };
+        let configured_memory = kind.and_then(|kind| kind.memory_tokens);
+        let memory_tokens = configured_memory.map_or(DEFAULT_MEMORY_TOKENS, |tokens| tokens.max(1) as f64);
+        let is_valid_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
+        let weight = if is_valid_weight { endpoint.weight } else { 1.0 };
         let id = endpoint.worker;
         let is_same_process = self.get(&id).is_some_and(|worker| {
-            worker.history().slow_start.started_at() == endpoint.started_at && worker.role == role
+            worker.recorded_activity().slow_start.started_at() == endpoint.started_at && worker.role == role
         });
         if !is_same_process {
             let slow_start = SlowStartBucket::new(&id, endpoint.started_at, settings, now);
             self.insert(Worker::new(id.clone(), role, memory_tokens, slow_start), settings, now);
         }
         let location = self.location(&id, &endpoint.zone, endpoint.cell);
-        self.set_listing(&id, endpoint.status, weight, location);
+        self.update_listing(&id, endpoint.status, weight, location);
         (!is_same_process).then_some(id)
     }
 
-    /// Adds a worker process that is not listed at any place yet, in place of an earlier process.
+    /// Adds a worker process that has no location yet. It replaces an earlier process with the same id and
+    /// takes over its attempts in flight.
     fn insert(&mut self, mut worker: Worker, settings: &Settings, now: Micros) {
-        if let Some(mut earlier) = self.remove(&worker.id) {
-            worker.activity_mut().in_flight = std::mem::take(&mut earlier.activity_mut().in_flight);
+        if let Some(mut replaced) = self.remove(&worker.id) {
+            worker.activity_mut().in_flight = std::mem::take(&mut replaced.activity_mut().in_flight);
         }
-        let slow_start_end = worker.history().slow_start.ends_at(settings);
+        let slow_start_end = worker.recorded_activity().slow_start.ends_at(settings);
         self.slow_start_until = self.slow_start_until.max(slow_start_end);
-        if !worker.rest_if_ordinary(settings, now) {
+        if !worker.deactivate_if_idle(settings, now) {
             self.active.insert(worker.id.clone());
         }
         self.roles[worker.role as usize].insert(worker);
     }
 
-    /// Removes a worker from the fleet and from all that is kept of the fleet as a whole.
+    /// Removes a worker from the fleet and from all aggregates.
     fn remove(&mut self, id: &WorkerId) -> Option<Worker> {
         self.mark_gone(id);
         self.gone.remove(id);
         self.active.remove(id);
         let worker = self.roles.iter_mut().find_map(|members| members.remove(id))?;
-        self.places.leave(&worker.location);
+        self.topology.unregister(&worker.location);
         Some(worker)
     }
 
-    /// The location of a known worker that is listed in this zone and cell.
+    /// Returns the location of a known worker that is listed in this zone and cell, and registers the worker
+    /// there if it is new at this location.
     fn location(&mut self, id: &WorkerId, zone: &str, cell: u64) -> Location {
-        let present = self.get(id).map(|worker| &worker.location);
-        let is_present = |location: &&Location| location.is_in_zone(zone) && location.cell == cell;
-        match present.filter(is_present).filter(|location| !location.is_nowhere()) {
+        let current = self.get(id).map(|worker| &worker.location);
+        let is_unchanged = |location: &&Location| location.is_in_zone(zone) && location.cell == cell;
+        match current.filter(is_unchanged).filter(|location| !location.is_empty()) {
             Some(location) => location.clone(),
-            None => self.places.enter(zone, cell),
+            None => self.topology.register(zone, cell),
         }
     }
 
-    /// Sets how a worker is listed, and updates what is kept of the fleet as a whole.
-    fn set_listing(&mut self, id: &WorkerId, status: WorkerStatus, weight: f64, location: Location) {
-        let Membership { roles, places, gone, .. } = self;
+    /// Updates the status, weight and location of a worker, and all aggregates.
+    fn update_listing(&mut self, id: &WorkerId, status: WorkerStatus, weight: f64, location: Location) {
+        let Membership { roles, topology, gone, .. } = self;
         let found = roles.iter_mut().find_map(|members| Some((members.position(id).ok()?, members)));
         let Some((position, RoleMembers { workers, ready, .. })) = found else { return };
         let worker = &mut workers[position];
         if worker.is_ready() {
-            places.remove_capacity(&worker.location, worker.role, worker.weight);
+            topology.remove_capacity(&worker.location, worker.role, worker.weight);
             *ready -= 1;
         }
-        let left = std::mem::replace(&mut worker.location, location);
-        if !left.is_same_place(&worker.location) {
-            places.leave(&left);
+        let previous = std::mem::replace(&mut worker.location, location);
+        if !previous.is_same_zone_and_cell(&worker.location) {
+            topology.unregister(&previous);
         }
         worker.status = status;
         worker.weight = weight;
         if worker.is_ready() {
-            places.add_capacity(&worker.location, worker.role, worker.weight);
+            topology.add_capacity(&worker.location, worker.role, worker.weight);
             *ready += 1;
         }
         if status == WorkerStatus::Gone {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,7 +11,7 @@
 //! | May it be sent again? | `retry` |
 //! | Why and how does a request end unanswered by a worker? | `final_answer`; while queued also `admission` |
 //! | Who owns requests and their phases? | `request` |
-//! | Who owns the fleet? | `membership`, `places`, `worker`, `discovery_watch` |
+//! | Who owns the fleet? | `membership`, `topology`, `worker`, `discovery_watch` |
 //! | Who owns the health and load of a worker? | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
 //! | How much is waiting at a worker? | `load_estimator` |
 //! | Who owns what was learned? | `latency_model`, `prefix_table`, `decode_timeouts` |
@@ -39,7 +39,6 @@
 mod load_view;
 mod membership;
 mod outlier;
-mod places;
 mod prefill_choice;
 mod prefix_table;
 mod request;
@@ -49,6 +48,7 @@
 mod statistics;
 mod sweep;
 mod tenant_quotas;
+mod topology;
 mod worker;
 
 use crate::interface::*;
@@ -176,7 +176,7 @@
         }
         self.prefixes.expire(self.now);
         let prefixes = &self.prefixes;
-        self.membership.rest(&self.settings, self.now, |id| prefixes.has_entries(id));
+        self.membership.deactivate_idle(&self.settings, self.now, |id| prefixes.has_entries(id));
         self.advance_all(AdvanceScope::Unanswered, out);
     }
 
@@ -192,12 +192,12 @@
         }
         let requests = &self.requests;
         let has_attempt_in_flight = |worker: &Worker| {
-            let mut keys = worker.history().in_flight.iter();
+            let mut keys = worker.recorded_activity().in_flight.iter();
             keys.any(|key| requests.in_flight_attempt(*key).is_some())
         };
         let new_processes =
             self.membership.apply_update(kind, endpoints, &self.settings, self.now, has_attempt_in_flight);
-        self.prefixes.forget_workers(&new_processes);
+        self.prefixes.remove_workers(&new_processes);
     }
 
     fn record_load_report(&mut self, worker: &WorkerId, report: Option<LoadReport>) {
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,20 +1,21 @@
-//! Outlier detection: workers that fail are ejected for a time, twice as long after each failed trial.
+//! Outlier detection: failing workers are ejected for a time that doubles after each failed trial.
 //!
-//! A trial is an attempt sent to a worker whose ejection has ended, but which has not succeeded since: it
-//! gets one at a time, unless most of its role looks unhealthy. If it succeeds, the failure rate halves and
-//! the worker may be used as before; if it fails, the worker is ejected again.
+//! A trial is an attempt sent to a worker whose ejection has ended but which has not succeeded since, as in
+//! the half-open state of a circuit breaker. Such a worker gets one trial at a time, unless most workers of
+//! its role are unhealthy. A successful trial halves the failure rate and ends the outlier state; a failed
+//! one ejects the worker again.
 
 use super::MAX_BACKOFF_DOUBLINGS;
 use crate::interface::{Micros, Settings};
 
-/// A worker is an outlier when its failure rate passes this: most of its recent attempts failed. It is also
-/// the weight of a new outcome in the failure rate.
+/// A worker is an outlier while its failure rate exceeds this, which means that most of its recent attempts
+/// have failed. It is also the weight of a new outcome in the failure rate.
 const EJECTION_THRESHOLD: f64 = 0.5;
 
-/// The first ejection lasts this many connection timeouts.
+/// Duration of the first ejection, in connection timeouts.
 const EJECTION_CONNECT_TIMEOUTS: Micros = 4;
 
-/// The failures of one worker.
+/// Failure rate and ejection state of one worker.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
     failure_rate: f64,
@@ -25,7 +26,7 @@
 }
 
 impl OutlierDetector {
-    /// Records an answer that was good, or began well.
+    /// Records a successful answer or a stream that has started.
     pub fn record_success(&mut self, now: Micros) {
         self.last_success = now;
         self.unreachable = false;
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Records a failed attempt. One that was sent before the present ejection ended says nothing new.
+    /// Records a failed attempt. The ejection is extended only by attempts sent after the previous one ended:
+    /// earlier attempts may have failed for the same cause.
     pub fn record_failure(&mut self, now: Micros, sent_at: Micros, settings: &Settings) {
         self.failure_rate += (1.0 - self.failure_rate) * EJECTION_THRESHOLD;
         if self.is_suspect() && sent_at >= self.ejected_until {
@@ -47,30 +49,31 @@
         }
     }
 
-    /// Records a connection that could not be established. The worker is unreachable when the attempt before
-    /// had failed, too: once may be a full table of connections.
+    /// Records a failure to connect. The worker becomes unreachable only if the preceding attempt had failed
+    /// as well: a single failure to connect may be caused by a full connection table.
     pub fn record_connect_failure(&mut self, now: Micros, sent_at: Micros, settings: &Settings) {
         self.unreachable |= self.failure_rate >= EJECTION_THRESHOLD;
         self.record_failure(now, sent_at, settings);
     }
 
-    /// Whether no connection to it can be established.
+    /// Whether connections to the worker can't be established.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// Whether it is ejected, or was and has not succeeded since: it gets one trial at a time.
+    /// Whether the worker is ejected, or was ejected and has not succeeded since. Such a worker gets one
+    /// trial at a time.
     pub fn is_suspect(&self) -> bool {
         self.failure_rate > EJECTION_THRESHOLD || self.unreachable
     }
 
-    /// Whether it is ejected now.
+    /// Whether the worker is ejected now.
     pub fn is_ejected(&self, now: Micros) -> bool {
         self.ejected_until > now
     }
 
-    /// Whether nothing sent at `sent_at` or later has succeeded.
-    pub fn is_silent_since(&self, sent_at: Micros) -> bool {
+    /// Whether no success was recorded after `sent_at`.
+    pub fn has_no_success_since(&self, sent_at: Micros) -> bool {
         self.last_success <= sent_at
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,16 +1,16 @@
-//! Slow start: workers that have just started are sent no more than a growing part of their capacity.
+//! Slow start: limits the attempts sent to recently started workers to a growing fraction of their capacity.
 //!
-//! Each worker that warms up has a token bucket in each router. A router may send it an attempt while the
-//! bucket holds a whole permit, and each attempt takes one.
-//! The units are called permits here, since tokens are the model's everywhere else.
+//! Each router has a token bucket for each worker in slow start. It may send an attempt to the worker while
+//! the bucket holds a whole permit, and each attempt takes one permit. The units of the bucket are called
+//! permits, because a token is a unit of prompt or answer text everywhere else.
 
 use super::membership::{Membership, ROLE_COUNT};
-use super::slow_start_bucket::BUDGET_PER_REFILL_RATIO;
+use super::slow_start_bucket::BUDGET_TO_REFILL_RATIO;
 use super::statistics::LOAD_HALF_LIFE;
 use super::worker::WorkerActivity;
 use crate::interface::{Micros, Settings};
 
-/// What the warm workers of a role were seen to complete, and their capacity.
+/// Requests completed by the warm workers of a role, and the capacity of these workers.
 #[derive(Clone, Copy, Default)]
 struct WarmThroughput {
     completions: f64,
@@ -18,56 +18,55 @@
 }
 
 impl WarmThroughput {
-    /// Requests a microsecond that a warm worker of this weight completes.
-    fn rate_of(&self, weight: f64) -> f64 {
+    /// Returns the completion rate of a warm worker with this weight, in requests per microsecond.
+    fn completion_rate(&self, weight: f64) -> f64 {
         self.completions / f64::max(self.weight, 1e-9) * weight * std::f64::consts::LN_2
             / LOAD_HALF_LIFE as f64
     }
 }
 
-/// Refills the slow-start buckets of all workers.
+/// Refills the token buckets of all workers in slow start.
 #[derive(Default)]
 pub(super) struct SlowStart {
-    refilled_at: Micros,
+    last_refill: Micros,
 }
 
 impl SlowStart {
-    /// Refills all buckets up to now: by this router's part of half the overload multiple (the other half is
-    /// for chance) of what each worker can do by now.
+    /// Refills all buckets for the time since the previous call.
     ///
-    /// What a warm worker can do is what its peers were seen to complete, never what they were sent, since in
-    /// a storm of retries most of that is rejected; or its part of `promised_rate`, the sum of this router's
-    /// tenant quotas. Routers that see nothing take turns. Guards against restarts under any load and with
-    /// any number of routers; it is overly careful when warm workers are idle.
-    pub fn refill(
-        &mut self,
-        now: Micros,
-        settings: &Settings,
-        promised_rate: f64,
-        membership: &mut Membership,
-    ) {
-        let refilled_at = std::mem::replace(&mut self.refilled_at, now);
+    /// The rate is the worker's present capacity times half of the overload multiple; the other half is
+    /// reserved for random variation between routers. The capacity is estimated from the completions that
+    /// this router observed at warm workers of the same role, or from their share of `quota_rate`, the sum of
+    /// this router's tenant quotas, if that is higher. Sent attempts are not counted, because most of them
+    /// are rejected in a retry storm. Without either source, a minimum rate applies at which the routers take
+    /// turns.
+    ///
+    /// This limits the load of a restarted worker at any request rate and any number of routers. The limit is
+    /// lower than necessary while warm workers are idle.
+    pub fn refill(&mut self, now: Micros, settings: &Settings, quota_rate: f64, membership: &mut Membership) {
+        let last_refill = std::mem::replace(&mut self.last_refill, now);
         if !membership.has_slow_starts(now) {
             return;
         }
-        let middle = refilled_at + (now - refilled_at.min(now)) / 2;
-        let warm = warm_throughput(membership, settings, now, middle);
+        let midpoint = last_refill + (now - last_refill.min(now)) / 2;
+        let warm = warm_throughput(membership, settings, now, midpoint);
         let peak_ready = membership.peak_ready();
         let replicas = f64::from(settings.replica_count.max(1));
-        let least_rate = 1.0 / (settings.overload_window.max(1) as f64 * replicas);
+        let min_rate = 1.0 / (settings.overload_window.max(1) as f64 * replicas);
         for worker in membership.slow_starting_mut(settings, now) {
             let role = worker.role as usize;
-            let promised = promised_rate / peak_ready[role].max(1) as f64;
-            let warm_rate = warm[role].rate_of(worker.weight).max(promised);
+            let quota_share = quota_rate / peak_ready[role].max(1) as f64;
+            let warm_rate = warm[role].completion_rate(worker.weight).max(quota_share);
             let slow_start = &mut worker.activity_mut().slow_start;
             let warm_fraction = slow_start.warm_fraction(settings, now);
-            let rate = warm_rate * settings.overload_multiple * warm_fraction / BUDGET_PER_REFILL_RATIO;
-            slow_start.refill(rate.max(least_rate), refilled_at, settings, now);
+            let rate = warm_rate * settings.overload_multiple * warm_fraction / BUDGET_TO_REFILL_RATIO;
+            slow_start.refill(rate.max(min_rate), last_refill, settings, now);
         }
     }
 }
 
-/// What the warm workers of each role complete.
+/// Sums the completions and weights of the warm workers of each role, with completions decayed to
+/// `measured_at`.
 fn warm_throughput(
     membership: &Membership,
     settings: &Settings,
@@ -76,10 +75,10 @@
 ) -> [WarmThroughput; ROLE_COUNT] {
     let mut warm = [WarmThroughput::default(); ROLE_COUNT];
     for worker in membership.iter() {
-        let is_warming_up = |activity: &WorkerActivity| activity.slow_start.is_active(settings, now);
-        if worker.is_ready() && !worker.activity().is_some_and(is_warming_up) {
+        let is_slow_starting = |activity: &WorkerActivity| activity.slow_start.is_active(settings, now);
+        if worker.is_ready() && !worker.activity().is_some_and(is_slow_starting) {
             let throughput = &mut warm[worker.role as usize];
-            throughput.completions += worker.history().completions.value_at(measured_at);
+            throughput.completions += worker.recorded_activity().completions.value_at(measured_at);
             throughput.weight += worker.weight;
         }
     }
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -1,30 +1,31 @@
-//! What a router knows of one worker.
+//! A router's state for one worker.
 
 use super::load_view::LoadView;
 use super::outlier::OutlierDetector;
-use super::places::Location;
 use super::request::AttemptKey;
 use super::slow_start_bucket::SlowStartBucket;
 use super::statistics::{DecayingSum, MovingAverage, SAMPLE_WEIGHT};
+use super::topology::Location;
 use crate::interface::{Micros, Role, Settings, WorkerId, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bounds for one sample of the time taken over the time expected: a single absurd time says little.
+/// Bounds of one sample of the ratio of elapsed to expected time. They limit the effect of a single extreme
+/// measurement.
 const SLOWNESS_SAMPLE_BOUNDS: (f64, f64) = (0.1, 10.0);
 
-/// How far a KV cache travels from the worker that holds it.
+/// Distance over which a KV cache is transferred from the worker that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Distance {
     /// Within the cell.
     SameCell,
     /// Within the zone.
     SameZone,
-    /// Between zones; also the distance when no KV cache travels.
+    /// Between zones. Also used if no KV cache is transferred.
     Remote,
 }
 
 impl Distance {
-    /// The next farther distance.
+    /// Returns the next greater distance; [`Distance::Remote`] is the greatest.
     pub fn next(self) -> Self {
         match self {
             Distance::SameCell => Distance::SameZone,
@@ -33,51 +34,52 @@
     }
 }
 
-/// What workers may distinguish when they reject requests.
+/// The request class and tenant to which a rejection by a worker applies.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TrafficKey {
-    /// The index of the class in the settings.
+    /// Index of the class in the settings.
     pub class_index: usize,
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: Option<String>,
 }
 
-/// What was learned of a worker since its present process was first listed, and what it is busy with.
+/// Measurements of a worker since its current process was first listed, and its attempts in flight.
 #[derive(Default)]
 pub(super) struct WorkerActivity {
-    /// Its budget while it warms up.
+    /// Permits during slow start.
     pub slow_start: SlowStartBucket,
-    /// Its failures.
+    /// Failure rate and ejection.
     pub outlier: OutlierDetector,
-    /// Its load as reported and gossiped.
+    /// Load from the worker's reports and from the gossip of other routers.
     pub load: LoadView,
-    /// The attempts in flight at it, of which [`Requests`](super::request::Requests) knows more.
+    /// Keys of the attempts in flight; [`Requests`](super::request::Requests) holds the attempts.
     pub in_flight: BTreeSet<AttemptKey>,
-    /// Requests that it was seen to complete.
+    /// Decayed number of requests that the worker completed for this router.
     pub completions: DecayingSum,
     rejecting_until: BTreeMap<TrafficKey, Micros>,
 }
 
 impl WorkerActivity {
-    /// Records an answer that was good, or began well.
+    /// Records a successful answer or a stream that has started.
     pub fn record_success(&mut self, now: Micros) {
         self.outlier.record_success(now);
         self.completions.add(now, 1.0);
     }
 
-    /// Records that it rejects requests of this class and tenant; others may still be sent there.
+    /// Records that the worker rejects requests of this class and tenant. Other requests may still be sent to
+    /// it.
     pub fn record_rejection(&mut self, traffic: TrafficKey, until: Micros) {
         self.rejecting_until.insert(traffic, until);
     }
 
-    /// Whether it has just rejected a request of this class and tenant.
+    /// Whether the worker has recently rejected a request of this class and tenant.
     pub fn is_rejecting(&self, traffic: &TrafficKey, now: Micros) -> bool {
         self.rejecting_until.get(traffic).is_some_and(|until| *until > now)
     }
 
-    /// Whether there is nothing that would set it apart from a worker of which nothing is known, but its
-    /// slowness.
-    fn is_ordinary(&self, settings: &Settings, now: Micros) -> bool {
+    /// Whether decisions would treat the worker like one without recorded activity. Slowness is part of
+    /// [`Worker`] and not considered here.
+    fn is_idle(&self, settings: &Settings, now: Micros) -> bool {
         self.in_flight.is_empty()
             && !self.outlier.is_suspect()
             && !self.outlier.is_ejected(now)
@@ -87,31 +89,31 @@
     }
 }
 
-/// A worker: its entry in the endpoint list, and what was learned of it.
+/// A worker: its entry in the endpoint list and its measurements.
 ///
-/// A decision goes through all workers of a role, and a router in a large fleet has dealt with few of them
-/// lately. The others are *at rest*: they differ by what stands here alone, and their activity is not looked
-/// at.
+/// A decision iterates over all workers of a role, of which a router in a large fleet has recently used only
+/// a few. The others are *inactive*: they differ only in the fields of this struct, and decisions do not read
+/// their activity.
 pub(super) struct Worker {
-    /// Its name.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// What it does.
+    /// Stages that the worker serves.
     pub role: Role,
-    /// Its zone and cell.
+    /// Zone and cell of the worker.
     pub location: Location,
-    /// Its capacity relative to other workers, as listed.
+    /// Capacity relative to other workers, from the endpoint list.
     pub weight: f64,
-    /// Its KV cache memory, in tokens.
+    /// KV cache memory in tokens.
     pub memory_tokens: f64,
-    /// Whether it is in service.
+    /// Status from the endpoint list.
     pub status: WorkerStatus,
     slowness: MovingAverage,
-    is_at_rest: bool,
+    is_inactive: bool,
     activity: Box<WorkerActivity>,
 }
 
 impl Worker {
-    /// A worker process of which nothing is known but its role, its memory and its start.
+    /// Creates a worker process without measurements. It is not in service until its endpoint is applied.
     pub fn new(id: WorkerId, role: Role, memory_tokens: f64, slow_start: SlowStartBucket) -> Self {
         Worker {
             id,
@@ -120,19 +122,19 @@
             weight: 0.0,
             memory_tokens,
             status: WorkerStatus::Gone,
-            // The prior outweighs a single odd answer.
+            // The prior outweighs a single outlier.
             slowness: MovingAverage::with_prior(1.0, 1.0 / SAMPLE_WEIGHT),
-            is_at_rest: false,
+            is_inactive: false,
             activity: Box::new(WorkerActivity { slow_start, ..WorkerActivity::default() }),
         }
     }
 
-    /// Whether it is in service.
+    /// Whether the worker is in service.
     pub fn is_ready(&self) -> bool {
         self.status == WorkerStatus::Ready
     }
 
-    /// How far a KV cache that this worker holds travels to another worker.
+    /// Returns the distance for the transfer of a KV cache from this worker to another one.
     pub fn distance_to(&self, other: &Worker) -> Distance {
         if self.location.cell == other.location.cell {
             Distance::SameCell
@@ -143,36 +145,36 @@
         }
     }
 
-    /// Records the time that an attempt took over the time that it takes on average.
+    /// Records the ratio of an attempt's elapsed time to the average time of such attempts.
     pub fn record_slowness(&mut self, ratio: f64) {
-        let (least, most) = SLOWNESS_SAMPLE_BOUNDS;
-        self.slowness.add(ratio.clamp(least, most));
+        let (min, max) = SLOWNESS_SAMPLE_BOUNDS;
+        self.slowness.add(ratio.clamp(min, max));
     }
 
-    /// Time taken over time expected, as a moving average.
+    /// Returns the moving average of the ratio of elapsed to expected time.
     pub fn slowness(&self) -> f64 {
         self.slowness.value_or(1.0)
     }
 
-    /// What a decision has to look at; `None` while it is at rest.
+    /// Returns the activity that decisions have to consider; `None` while the worker is inactive.
     pub fn activity(&self) -> Option<&WorkerActivity> {
-        (!self.is_at_rest).then_some(&self.activity)
+        (!self.is_inactive).then_some(&self.activity)
     }
 
-    /// All that was learned of it, also at rest.
-    pub fn history(&self) -> &WorkerActivity {
+    /// Returns the recorded activity, also of an inactive worker.
+    pub fn recorded_activity(&self) -> &WorkerActivity {
         &self.activity
     }
 
-    /// The same, to be changed. It is not at rest from here on.
+    /// Marks the worker as active and returns its activity for modification.
     pub fn activity_mut(&mut self) -> &mut WorkerActivity {
-        self.is_at_rest = false;
+        self.is_inactive = false;
         &mut self.activity
     }
 
-    /// Lets it rest if there is no reason to look at its activity; whether it rests now.
-    pub fn rest_if_ordinary(&mut self, settings: &Settings, now: Micros) -> bool {
-        self.is_at_rest = self.activity.is_ordinary(settings, now);
-        self.is_at_rest
+    /// Marks the worker as inactive if it is idle, else as active. Returns whether it is inactive.
+    pub fn deactivate_if_idle(&mut self, settings: &Settings, now: Micros) -> bool {
+        self.is_inactive = self.activity.is_idle(settings, now);
+        self.is_inactive
     }
 }
