--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -91,8 +91,8 @@
         Some(worker.activity_mut())
     }
 
-    /// Marks idle workers as inactive, except those for which `is_in_use` returns true.
-    /// Does nothing within [`DEACTIVATION_INTERVAL`] of the previous search.
+    /// Marks idle workers as inactive, except those for which `is_in_use` returns true. Does nothing within
+    /// [`DEACTIVATION_INTERVAL`] of the previous search.
     pub fn deactivate_idle(
         &mut self,
         settings: &Settings,
--- a/src/policy/slow_start_bucket.rs
+++ b/src/policy/slow_start_bucket.rs
@@ -16,8 +16,8 @@
 /// A worker is overloaded by more than `N + 2 * sqrt(N) + 2` attempts in an overload window. N is
 /// `overload_multiple` times the number of requests that the worker can complete in that window at its
 /// present capacity, and at least 2. The buckets of all routers receive `N / 2` permits per window, so the
-/// permits accumulated before the window may add up to `N / 2 + 2 * sqrt(N)`, which is `N / 2 * (1 + 4 /
-/// sqrt(N))`. The last 2 attempts of the limit remain unused.
+/// permits accumulated before the window may add up to `N / 2 + 2 * sqrt(N)`, which equals
+/// `N / 2 * (1 + 4 / sqrt(N))`. The last 2 attempts of the limit remain unused.
 const VARIATION_ALLOWANCE: f64 = 4.0;
 
 /// Lower bound of the warm fraction, for any settings.
--- a/src/policy/topology.rs
+++ b/src/policy/topology.rs
@@ -130,8 +130,7 @@
         Location { zone, cell, cell_domain, zone_domain }
     }
 
-    /// Unregisters a worker that is no longer listed at this location. Its capacity must have been removed
-    /// before.
+    /// Unregisters a worker that is no longer listed at this location. It must not be in service there.
     pub fn unregister(&mut self, location: &Location) {
         if location.is_empty() {
             return;
--- a/tests/policy_placement.rs
+++ b/tests/policy_placement.rs
@@ -1,4 +1,4 @@
-//! Where the policy sends requests: the choice of the prefill worker and of the decode worker.
+//! Selection of the prefill worker and of the decode worker by the policy.
 
 #[path = "support/rig.rs"]
 mod rig;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 #[test]
-fn decodes_near_the_prefill_worker() {
+fn a_request_is_decoded_in_the_cell_of_its_prefill_worker() {
     let mut rig = Rig::fleet(settings());
     let received = rig.request(1, "idempotent");
     let prefill_worker = send_targets(&received)[0].to_owned();
@@ -24,31 +24,32 @@
     let mut homes = Vec::new();
     for index in 0..2 {
         let mut rig = Rig::fleet(Settings { replica_index: index, ..settings() });
-        let with = |now| RequestSpec {
+        let prefixed_spec = |now| RequestSpec {
             prefix: Some(Arc::from("p")),
             prefix_tokens: 1_900,
             ..request_spec(now, "idempotent")
         };
-        let first = rig.receive(with(rig.now));
+        let first = rig.receive(prefixed_spec(rig.now));
         rig.end_attempt(0, 0, Outcome::PrefillCompleted);
         rig.end_attempt(0, 1, Outcome::Completed);
-        let again = rig.receive(RequestSpec { request: RequestId(2), ..with(rig.now) });
-        assert_eq!(send_targets(&first), send_targets(&again));
+        let second = rig.receive(RequestSpec { request: RequestId(2), ..prefixed_spec(rig.now) });
+        assert_eq!(send_targets(&first), send_targets(&second));
         homes.push(send_targets(&first)[0].to_owned());
     }
     assert_eq!(homes[0], homes[1]);
 }
 
-/// Found on the engines deployment: one prefix of hundreds drew a tenth of all requests to one of a hundred workers.
+/// With a single home per prefix, one of hundreds of prefixes directed a tenth of all requests to one worker
+/// of a fleet with a hundred.
 #[test]
 fn in_a_large_fleet_a_prefix_has_several_homes_and_a_session_stays_at_one() {
     let homes_of = |prefill_workers: usize| {
-        // Each request comes to another router, which has not seen the prefix before.
+        // Each request arrives at a different router, which has not seen the prefix before.
         let home = |request: u64| {
-            let set = settings();
-            let mut rig = Rig { policy: Policy::new(set.clone(), request), ..Rig::new(set) };
-            let named = (0..prefill_workers).map(|i| format!("r{i}")).chain(["w1".to_owned()]);
-            let list = named.map(|name| endpoint(&name, 0, WorkerStatus::Ready, None)).collect();
+            let settings = settings();
+            let mut rig = Rig { policy: Policy::new(settings.clone(), request), ..Rig::new(settings) };
+            let names = (0..prefill_workers).map(|i| format!("r{i}")).chain(["w1".to_owned()]);
+            let list = names.map(|name| endpoint(&name, 0, WorkerStatus::Ready, None)).collect();
             rig.update_endpoints(UpdateKind::Restored, list);
             let (session, prefix) = (Some(format!("s{}", request / 2).as_str().into()), Some("p".into()));
             let sent = rig.receive(RequestSpec {
@@ -63,14 +64,14 @@
             })
         };
         let homes: Vec<WorkerId> = (0..40).map(|request| home(request).unwrap()).collect();
-        assert!(homes.chunks(2).all(|of_session| of_session[0] == of_session[1]), "{homes:?}");
+        assert!(homes.chunks(2).all(|pair| pair[0] == pair[1]), "{homes:?}");
         homes.iter().collect::<std::collections::BTreeSet<_>>().len()
     };
     assert_eq!([20, 100, 200].map(homes_of), [1, 2, 4]);
 }
 
 #[test]
-fn a_session_is_prefilled_where_it_was_before() {
+fn all_prefills_of_a_session_go_to_the_same_worker() {
     let mut rig = Rig::fleet(settings());
     let mut prefill_workers = Vec::new();
     for id in 1..6 {
@@ -81,7 +82,7 @@
             ..request_spec(rig.now, "idempotent")
         });
         prefill_workers.push(send_targets(&received)[0].to_owned());
-        // Another request puts load on the other worker.
+        // Another request adds load to the other worker.
         rig.request(100 + id, "idempotent");
         rig.end_attempt(id, 0, Outcome::PrefillCompleted);
         rig.end_attempt(id, 1, Outcome::Completed);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_failed_prefill_does_not_bind_its_session() {
+fn a_failed_prefill_does_not_pin_its_session_to_the_worker() {
     let mut rig = Rig::fleet(settings());
     let session = || Some(Arc::from("s"));
     let first = rig.receive(RequestSpec {
@@ -105,7 +106,8 @@
     assert_eq!(send_targets(&second).len(), 1, "a prefill may always be retried");
     rig.end_attempt(1, 1, Outcome::WorkerError);
     rig.end_attempt(1, 2, Outcome::WorkerError);
-    // Both prefill workers failed; neither caches the session, so nothing binds the next prompt to the first one.
+    // Both prefill workers failed and neither caches the session, so the next prompt is not pinned to the
+    // first one.
     rig.pass_time(10 * SECOND);
     let next = rig.receive(RequestSpec {
         request: RequestId(2),
@@ -116,9 +118,9 @@
 }
 
 #[test]
-fn while_near_decode_workers_time_out_others_are_used_more() {
-    // Found in an incident: two cells' decode workers were congested for seconds beside a third cell's that idled,
-    // since nothing reported the congestion and KV caches stayed near.
+fn timeouts_of_local_decode_workers_move_requests_to_other_cells() {
+    // Without load reports, congestion of the decode workers of two cells was not visible. Their requests
+    // kept being decoded locally for seconds while the decode workers of a third cell were idle.
     let mut rig = Rig::new(settings());
     let cell = |worker: &str| u64::from(["r2", "w4", "w5", "w6"].contains(&worker));
     let names = ["r1", "r2", "w1", "w2", "w3", "w4", "w5", "w6"];
@@ -127,35 +129,38 @@
         names.iter().map(|w| endpoint(w, cell(w), WorkerStatus::Ready, None)).collect(),
     );
     let mut id = 0;
-    // Sends requests; the number of those that are prefilled in the first cell and stay there for their decode.
-    let mut count_staying = |rig: &mut Rig, times_out: bool| {
-        let mut stayed = 0;
+    // Sends requests and returns the number of those that are prefilled and decoded in the first cell.
+    let mut count_local = |rig: &mut Rig, times_out: bool| {
+        let mut local = 0;
         for _ in 0..40 {
             id += 1;
             let prefill_worker = send_targets(&rig.request(id, "idempotent"))[0].to_owned();
             let decode_worker =
                 send_targets(&rig.end_attempt(id, 0, Outcome::PrefillCompleted))[0].to_owned();
-            let is_near = cell(&prefill_worker) == 0 && cell(&decode_worker) == 0;
-            stayed += u32::from(is_near);
-            // One after the other times out, each of them seldom enough not to be ejected itself.
-            if times_out && is_near && stayed % 2 == 0 {
+            let is_local = cell(&prefill_worker) == 0 && cell(&decode_worker) == 0;
+            local += u32::from(is_local);
+            // Every other local request times out, which is too rare for a worker to be ejected.
+            if times_out && is_local && local % 2 == 0 {
                 rig.end_attempt(id, 1, Outcome::TimedOut);
                 rig.end_attempt(id, 2, Outcome::Completed);
             } else {
                 rig.end_attempt(id, 1, Outcome::Completed);
             }
         }
-        stayed
+        local
     };
-    let before = count_staying(&mut rig, false);
-    count_staying(&mut rig, true);
-    let after = count_staying(&mut rig, false);
-    assert!((1..=before / 2).contains(&after), "{before} near before, {after} after");
+    let before = count_local(&mut rig, false);
+    count_local(&mut rig, true);
+    let after = count_local(&mut rig, false);
+    assert!(
+        (1..=before / 2).contains(&after),
+        "{before} local requests before the timeouts, {after} after them"
+    );
 }
 
 #[test]
-fn decode_workers_that_can_prefill_stand_in_for_unreachable_prefill_workers() {
-    // Found in an incident: every prefill worker died while it was still listed, and all requests were sent to them.
+fn decode_workers_that_can_prefill_replace_unreachable_prefill_workers() {
+    // If all prefill workers crash while they are still listed, requests must not be sent only to them.
     let mut rig = Rig::fleet(Settings { decode_can_prefill: true, ..settings() });
     let mut to_decode_workers = 0;
     for id in 1..30 {
@@ -183,29 +188,29 @@
     let mut rig = Rig::new(settings());
     let list = ["r1", "m1"].map(|w| endpoint(w, 0, WorkerStatus::Ready, None)).to_vec();
     rig.update_endpoints(UpdateKind::Snapshot, list);
-    let of = |id, prompt_tokens, now| RequestSpec {
+    let spec = |id, prompt_tokens, now| RequestSpec {
         request: RequestId(id),
         prompt_tokens,
         ..request_spec(now, "idempotent")
     };
-    assert_eq!(send_targets(&rig.receive(of(1, 1_000, rig.now))), ["m1"]);
-    assert_eq!(send_targets(&rig.receive(of(2, 9_000, rig.now))), ["r1"]);
+    assert_eq!(send_targets(&rig.receive(spec(1, 1_000, rig.now))), ["m1"]);
+    assert_eq!(send_targets(&rig.receive(spec(2, 9_000, rig.now))), ["r1"]);
     assert_eq!(
         send_targets(&rig.end_attempt(2, 0, Outcome::PrefillCompleted)),
         ["m1"],
         "a unified worker decodes what was prefilled elsewhere"
     );
-    assert_eq!(send_targets(&rig.receive(of(3, 500, rig.now))), ["m1"]);
+    assert_eq!(send_targets(&rig.receive(spec(3, 500, rig.now))), ["m1"]);
 }
 
-/// Where nothing reports load, one stream of this router at the near decode worker was taken for one of every router, and
-/// KV caches left their cell for nothing.
+/// Without load reports, one stream of this router at the local decode worker was counted once for every
+/// router, and KV caches were transferred out of their cell needlessly.
 #[test]
-fn one_stream_at_the_near_decode_worker_is_no_reason_to_leave_the_cell() {
-    let mut near = 0;
+fn one_stream_at_the_local_decode_worker_does_not_move_requests_out_of_the_cell() {
+    let mut local = 0;
     for seed in 0..40 {
-        let set = Settings { replica_count: 100, replica_index: 5 * seed as u32, ..settings() };
-        let mut rig = Rig { policy: Policy::new(set.clone(), seed), ..Rig::new(set) };
+        let settings = Settings { replica_count: 100, replica_index: 5 * seed as u32, ..settings() };
+        let mut rig = Rig { policy: Policy::new(settings.clone(), seed), ..Rig::new(settings) };
         let list = [("r1", 0), ("w1", 0), ("r2", 1), ("w2", 1)];
         rig.update_endpoints(
             UpdateKind::Restored,
@@ -215,9 +220,9 @@
             rig.request(id, "idempotent");
             rig.end_attempt(id, 0, Outcome::PrefillCompleted);
             let [.., prefill_worker, decode_worker] = send_targets(&rig.actions)[..] else {
-                panic!("two attempts a request")
+                panic!("expected two attempts for the request")
             };
-            near += usize::from(prefill_worker[1..] == decode_worker[1..]);
+            local += usize::from(prefill_worker[1..] == decode_worker[1..]);
             rig.handle(Event::StreamStarted {
                 request: RequestId(id),
                 attempt: AttemptIndex(1),
@@ -225,23 +230,24 @@
             });
         }
     }
-    assert!(near >= 150, "{near} of 160 KV caches stayed in their cell");
+    assert!(local >= 150, "{local} of 160 KV caches stayed in their cell");
 }
 
-/// Where health checks bring load reports, one precedes a prefill; its report decides, its silence does not block.
+/// If health checks return load reports, one is sent before a prefill, whose worker is selected by the
+/// report. The prefill is sent without a report if the health check is not answered.
 #[test]
-fn a_health_check_precedes_a_prefill_and_its_silence_does_not_block() {
-    let set =
+fn a_health_check_precedes_a_prefill_but_does_not_block_it() {
+    let settings =
         Settings { health_checks_allowed: true, load_reporting: LoadReporting::Responses, ..settings() };
-    let mut rig = Rig::fleet(set);
+    let mut rig = Rig::fleet(settings);
     let received = rig.request(1, "idempotent");
     assert_eq!(received.iter().filter(|a| matches!(a, Action::CheckHealth { .. })).count(), 1);
     assert!(send_targets(&received).is_empty());
-    assert_eq!(send_targets(&rig.pass_time(600 * MS)).len(), 1, "sent all the same");
+    assert_eq!(send_targets(&rig.pass_time(600 * MS)).len(), 1, "the prefill is sent without a report");
     let Some(Action::CheckHealth { worker }) =
         received.into_iter().find(|a| matches!(a, Action::CheckHealth { .. }))
     else {
-        panic!("no health check")
+        panic!("no health check was sent")
     };
     let report = Some(LoadReport { queued_tokens: Some(1.0), ..LoadReport::default() });
     rig.handle(Event::HealthChecked { worker: worker.clone(), outcome: Outcome::Completed, report });
@@ -252,97 +258,99 @@
     );
 }
 
-/// Gossip about a worker's load moves prompts elsewhere; messages that make no sense change nothing.
+/// Load that is learned by gossip diverts prompts to other workers; malformed messages are ignored.
 #[test]
-fn gossiped_load_counts_and_odd_messages_are_ignored() {
-    let set = Settings { gossip_allowed: true, ..settings() };
-    let third = |mut rig: Rig| {
+fn gossiped_load_diverts_prompts_and_malformed_messages_are_ignored() {
+    let settings = Settings { gossip_allowed: true, ..settings() };
+    let with_third_prefill_worker = |mut rig: Rig| {
         rig.update_endpoints(UpdateKind::Delta, vec![endpoint("r3", 1, WorkerStatus::Ready, None)]);
         rig
     };
-    let mut rig = third(Rig::fleet(set.clone()));
-    let with = |now| RequestSpec {
+    let mut rig = with_third_prefill_worker(Rig::fleet(settings.clone()));
+    let prefixed_spec = |now| RequestSpec {
         prefix: Some(Arc::from("p")),
         prefix_tokens: 1_900,
         ..request_spec(now, "idempotent")
     };
-    let received = rig.receive(with(rig.now));
+    let received = rig.receive(prefixed_spec(rig.now));
     let gossip = received.iter().find_map(|a| match a {
         Action::Gossip { to: None, payload } => Some(payload.clone()),
         _ => None,
     });
-    let payload = gossip.expect("each prefill is gossiped");
-    let mut peer = third(Rig::fleet(set));
+    let payload = gossip.expect("no gossip was sent for the prefill");
+    let mut peer = with_third_prefill_worker(Rig::fleet(settings));
     peer.handle(Event::GossipReceived { from: 1, payload: vec![] });
     peer.handle(Event::GossipReceived { from: 1, payload: vec![0xff; 300] });
     for _ in 0..100 {
         peer.handle(Event::GossipReceived { from: 1, payload: payload.clone() });
     }
-    let elsewhere = peer.receive(with(peer.now));
+    let diverted = peer.receive(prefixed_spec(peer.now));
     assert_ne!(
         send_targets(&received),
-        send_targets(&elsewhere),
-        "the home's queue is much longer than the mean"
+        send_targets(&diverted),
+        "the queue of the prefix's home is much longer than the mean"
     );
 }
 
-/// One decode worker near many prefill workers keeps only its share of their KV caches, or it alone gets everything.
+/// A single decode worker in a cell with several prefill workers decodes only its share of their requests.
+/// Otherwise it would be overloaded while the decode workers of other cells are idle.
 #[test]
-fn a_lone_decode_worker_near_many_prefill_workers_does_not_get_all_their_caches() {
-    let mut near = 0;
+fn the_only_decode_worker_of_a_cell_is_not_sent_all_local_requests() {
+    let mut local = 0;
     for seed in 0..40 {
-        let set = Settings { replica_count: 100, replica_index: 5 * seed as u32, ..settings() };
-        let mut rig = Rig { policy: Policy::new(set.clone(), seed), ..Rig::new(set) };
+        let settings = Settings { replica_count: 100, replica_index: 5 * seed as u32, ..settings() };
+        let mut rig = Rig { policy: Policy::new(settings.clone(), seed), ..Rig::new(settings) };
         let list = [("r1", 0), ("r2", 0), ("r3", 0), ("w1", 0), ("w2", 1), ("w3", 1)];
         rig.update_endpoints(
             UpdateKind::Restored,
             list.iter().map(|(w, c)| endpoint(w, *c, WorkerStatus::Ready, None)).collect(),
         );
         rig.request(seed, "idempotent");
-        near += usize::from(send_targets(&rig.end_attempt(seed, 0, Outcome::PrefillCompleted)) == ["w1"]);
+        local += usize::from(send_targets(&rig.end_attempt(seed, 0, Outcome::PrefillCompleted)) == ["w1"]);
     }
-    assert!((5..25).contains(&near), "{near} of 40 near");
+    assert!((5..25).contains(&local), "{local} of 40 requests were decoded locally");
 }
 
-/// Routers that know nothing yet must not all choose alike, or one worker gets the whole fleet's work.
+/// Routers without measurements must not all select the same worker, which would receive the requests of the
+/// whole fleet.
 #[test]
-fn routers_that_know_nothing_choose_differently_among_equal_decode_workers() {
-    let mut chosen = std::collections::BTreeSet::new();
+fn routers_without_measurements_spread_requests_over_equal_decode_workers() {
+    let mut selected = std::collections::BTreeSet::new();
     for seed in 0..16 {
         let mut rig = Rig { policy: Policy::new(settings(), seed), ..Rig::new(settings()) };
         let list = [("r1", 0), ("w1", 1), ("w2", 1), ("w3", 1)];
         let entries = list.iter().map(|(w, cell)| endpoint(w, *cell, WorkerStatus::Ready, None)).collect();
         rig.update_endpoints(UpdateKind::Restored, entries);
         rig.request(1, "idempotent");
-        chosen.insert(send_targets(&rig.end_attempt(1, 0, Outcome::PrefillCompleted))[0].to_owned());
+        selected.insert(send_targets(&rig.end_attempt(1, 0, Outcome::PrefillCompleted))[0].to_owned());
     }
-    assert_eq!(chosen.len(), 3, "{chosen:?}");
+    assert_eq!(selected.len(), 3, "{selected:?}");
 }
 
-/// Guards against slow links: latencies learned over seconds kept sending KV caches out of the cell, where they timed out,
-/// although the near decode worker had capacity.
+/// Learned latencies reveal slow links only after seconds. Until then KV caches were transferred out of the
+/// cell and timed out, although the local decode worker had capacity.
 #[test]
-fn after_a_remote_cache_was_late_the_near_decode_worker_takes_all() {
+fn after_a_timeout_outside_the_cell_the_local_decode_worker_is_sent_all_requests() {
     let mut rig = Rig::fleet(settings());
     let decode = |rig: &mut Rig, id: u64| {
         let prefill_worker = send_targets(&rig.request(id, "idempotent"))[0].to_owned();
         let decode_worker = send_targets(&rig.end_attempt(id, 0, Outcome::PrefillCompleted))[0].to_owned();
         (prefill_worker == "r1").then_some(decode_worker)
     };
-    let far = (1..200).find(|id| {
+    let remote_request = (1..200).find(|id| {
         let decode_worker = decode(&mut rig, *id);
-        let far = decode_worker.is_some_and(|w| w != "w1");
-        if !far {
+        let is_remote = decode_worker.is_some_and(|w| w != "w1");
+        if !is_remote {
             rig.end_attempt(*id, 1, Outcome::Completed);
         }
-        far
+        is_remote
     });
-    let again = rig.end_attempt(
-        far.expect("some KV caches leave the cell of the lone decode worker"),
+    let retried = rig.end_attempt(
+        remote_request.expect("no KV cache was transferred out of the cell"),
         1,
         Outcome::TimedOut,
     );
-    assert_eq!(send_targets(&again), ["w1"], "the KV cache still waits at r1");
+    assert_eq!(send_targets(&retried), ["w1"], "r1 still holds the KV cache");
     for id in 200..230 {
         let decode_worker = decode(&mut rig, id);
         assert!(decode_worker.is_none_or(|w| w == "w1"));
