--- a/tests/policy_placement.rs
+++ b/tests/policy_placement.rs
@@ -260,7 +260,7 @@
 
 /// Load that is learned by gossip diverts prompts to other workers; malformed messages are ignored.
 #[test]
-fn gossiped_load_diverts_prompts_and_malformed_messages_are_ignored() {
+fn load_learned_by_gossip_diverts_prompts_and_malformed_messages_are_ignored() {
     let settings = Settings { gossip_allowed: true, ..settings() };
     let with_third_prefill_worker = |mut rig: Rig| {
         rig.update_endpoints(UpdateKind::Delta, vec![endpoint("r3", 1, WorkerStatus::Ready, None)]);
