--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -74,7 +74,8 @@
 /// Overdue attempts reveal workers that hang or are partitioned.
 fn is_healthy(context: DecisionContext<'_>, worker: &Worker, activity: &WorkerActivity) -> bool {
     let outlier = &activity.outlier;
-    let is_overdue = |a: &TrackedAttempt| a.overdue_at <= context.now && outlier.is_silent_since(a.sent_at);
+    let is_overdue =
+        |a: &TrackedAttempt| a.overdue_at <= context.now && outlier.has_no_success_since(a.sent_at);
     let is_trial_or_overdue =
         |a: &TrackedAttempt| a.stream_started_at.is_none() && (outlier.is_suspect() || is_overdue(a));
     !outlier.is_ejected(context.now) && !context.in_flight_at(worker).any(is_trial_or_overdue)
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -168,7 +168,7 @@
             }
             let index = request.begin_attempt(attempt);
             worker.in_flight.insert((id, index));
-            worker.slow_start.spend();
+            worker.slow_start.take_permit();
         }
         if stage == Stage::Prefill {
             self.gossip_queue_change(worker_id, tokens, out);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -11,7 +11,7 @@
 //! | Retries of requests that may have run | `retry` |
 //! | Local replies: rejections and failures | `local_reply`; while queued also `admission` |
 //! | Requests, their phases and attempts | `request` |
-//! | The fleet | `membership`, `places`, `worker`, `discovery_watch` |
+//! | The fleet | `membership`, `topology`, `worker`, `discovery_watch` |
 //! | Health and load of a worker | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
 //! | Estimate of the queue at a worker | `load_estimator` |
 //! | Learned state | `latency_model`, `prefix_table`, `decode_timeouts` |
@@ -41,7 +41,6 @@
 mod local_reply;
 mod membership;
 mod outlier;
-mod places;
 mod prefill_choice;
 mod prefix_table;
 mod request;
@@ -51,6 +50,7 @@
 mod statistics;
 mod sweep;
 mod tenant_quotas;
+mod topology;
 mod worker;
 
 use crate::interface::*;
@@ -188,7 +188,7 @@
         }
         self.prefixes.expire(self.now);
         let prefixes = &self.prefixes;
-        self.membership.rest(&self.settings, self.now, |id| prefixes.has_entries(id));
+        self.membership.deactivate_idle(&self.settings, self.now, |id| prefixes.has_entries(id));
         self.advance_all(AdvanceScope::WithoutResponse, out);
     }
 
@@ -205,12 +205,12 @@
         }
         let requests = &self.requests;
         let has_attempt_in_flight = |worker: &Worker| {
-            let mut keys = worker.history().in_flight.iter();
+            let mut keys = worker.recorded_activity().in_flight.iter();
             keys.any(|key| requests.in_flight_attempt(*key).is_some())
         };
         let new_processes =
             self.membership.apply_update(kind, endpoints, &self.settings, self.now, has_attempt_in_flight);
-        self.prefixes.forget_workers(&new_processes);
+        self.prefixes.remove_workers(&new_processes);
     }
 
     fn record_load_report(&mut self, worker: &WorkerId, report: Option<LoadReport>) {
