--- a/crates/fault-soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -1,6 +1,6 @@
-//! Checks that workers that drain or are gone get no new calls.
+//! Checks that draining and removed workers get no new calls.
 
-use super::TOLERANCE;
+use super::OBSERVATION_DELAY;
 use super::observations::Observations;
 use super::verdict::{Findings, Invariant};
 use crate::deployment::Deployment;
@@ -10,26 +10,26 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The time by which the limit of the settings may be exceeded.
-const SLACK: Duration = Duration::from_millis(50);
+/// The time by which an attempt may exceed the configured grace period.
+const DRAIN_SLACK: Duration = Duration::from_millis(50);
 
-/// An update about a worker that reached the discovery agent of a router.
+/// An endpoint update about a worker, as received by the discovery agent of a router.
 struct Update {
     at: Timestamp,
     is_in_service: bool,
 }
 
-/// What the discovery agents had learned, and when.
+/// The endpoint updates of all discovery agents.
 #[derive(Default)]
-struct Discovery {
+struct DiscoveryHistory {
     updates: HashMap<(RouterIndex, WorkerIndex), Vec<Update>>,
-    /// The times in which updates may reach a router late. Each has reached it by the end of such a time.
+    /// The periods in which updates may reach a router late. Each update arrives by the end of its period.
     disturbances: HashMap<RouterIndex, Vec<RangeInclusive<Timestamp>>>,
 }
 
-impl Discovery {
+impl DiscoveryHistory {
     fn new(run: &Observations) -> Self {
-        let mut discovery = Discovery::default();
+        let mut discovery = DiscoveryHistory::default();
         for entry in &run.entries {
             let at = entry.at;
             match entry.record {
@@ -52,29 +52,35 @@
         self.updates.entry((router, worker)).or_default().push(update);
     }
 
-    /// The time by which a router had to know that a worker is withdrawn, if the worker was withdrawn at `at`.
-    fn withdrawal_known(&self, router: RouterIndex, worker: WorkerIndex, at: Timestamp) -> Option<Timestamp> {
+    /// The time by which a router had to know that a worker was withdrawn, if the worker was withdrawn at
+    /// `at`.
+    fn withdrawal_known_by(
+        &self,
+        router: RouterIndex,
+        worker: WorkerIndex,
+        at: Timestamp,
+    ) -> Option<Timestamp> {
         let updates = self.updates.get(&(router, worker))?;
-        let earlier = updates.iter().filter(|update| update.at <= at).rev();
+        let latest_first = updates.iter().filter(|update| update.at <= at).rev();
         // The first update that withdrew the worker since it was last in service.
-        let withdrawn = earlier.take_while(|update| !update.is_in_service).last()?.at;
+        let withdrawn = latest_first.take_while(|update| !update.is_in_service).last()?.at;
         let disturbances = self.disturbances.get(&router).map_or(&[][..], Vec::as_slice);
-        let late = disturbances.iter().filter(|disturbance| disturbance.contains(&withdrawn));
-        Some(late.map(|disturbance| *disturbance.end()).max().unwrap_or(withdrawn))
+        let overlapping = disturbances.iter().filter(|disturbance| disturbance.contains(&withdrawn));
+        Some(overlapping.map(|disturbance| *disturbance.end()).max().unwrap_or(withdrawn))
     }
 }
 
-/// Checks every attempt against what its router had to know of its worker.
+/// Checks every attempt against the time by which its router had to know that the worker was withdrawn.
 pub(super) fn check(run: &Observations, deployment: &Deployment, findings: &mut Findings<'_>) {
-    let discovery = Discovery::new(run);
+    let discovery = DiscoveryHistory::new(run);
     for request in run.requests.values() {
         for attempt in &request.attempts {
-            let known = discovery.withdrawal_known(attempt.router, attempt.worker, attempt.started);
-            let Some(known) = known else { continue };
-            let late_by = attempt.started.since(known);
-            if late_by > deployment.drain_grace + SLACK + TOLERANCE {
+            let known_by = discovery.withdrawal_known_by(attempt.router, attempt.worker, attempt.started);
+            let Some(known_by) = known_by else { continue };
+            let late_by = attempt.started.since(known_by);
+            if late_by > deployment.drain_grace + DRAIN_SLACK + OBSERVATION_DELAY {
                 let detail = format!(
-                    "worker {} was known to be withdrawn for {} ms",
+                    "attempt at worker {} {} ms after its withdrawal was known",
                     attempt.worker,
                     late_by.as_millis()
                 );
--- a/crates/fault-soak/src/oracle/misbehaving_clients.rs
+++ b/crates/fault-soak/src/oracle/misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! Checks that misbehaving clients get an error, or that their connections are closed, in time.
+//! Checks that routers reject misbehaving clients in time, by an error response or by closing the connection.
 
 use super::observations::Observations;
 use super::verdict::{Findings, Invariant};
@@ -9,31 +9,32 @@
 
 /// The time within which a router has to reject a misbehaving client.
 const REJECTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// The time by which that may be exceeded.
-const TOLERANCE: Duration = Duration::from_millis(100);
+/// The time by which a rejection may exceed that limit.
+const REJECTION_SLACK: Duration = Duration::from_millis(100);
 
-/// A misbehaving client that is connected.
-struct Client {
-    connected: Timestamp,
+/// A misbehaving client that is connected to a router.
+struct MisbehavingClient {
+    connected_at: Timestamp,
     router: RouterIndex,
     misbehaviour: &'static str,
 }
 
 /// Checks every misbehaving client.
 pub(super) fn check(run: &Observations, findings: &mut Findings<'_>) {
-    let mut clients: HashMap<u64, Client> = HashMap::new();
+    let mut clients: HashMap<u64, MisbehavingClient> = HashMap::new();
     for entry in &run.entries {
         match entry.record {
             Record::MisbehavingClientConnected { router, misbehaviour, number } => {
-                clients.insert(number, Client { connected: entry.at, router, misbehaviour });
+                let client = MisbehavingClient { connected_at: entry.at, router, misbehaviour };
+                clients.insert(number, client);
             }
             Record::MisbehavingClientEnded { number, was_rejected } => {
                 let Some(client) = clients.remove(&number) else { continue };
-                let took = entry.at.since(client.connected);
-                if !was_rejected || took > REJECTION_TIMEOUT + TOLERANCE {
-                    let misbehaviour = client.misbehaviour;
+                let elapsed = entry.at.since(client.connected_at);
+                if !was_rejected || elapsed > REJECTION_TIMEOUT + REJECTION_SLACK {
+                    let (misbehaviour, elapsed) = (client.misbehaviour, elapsed.as_millis());
                     let detail =
-                        format!("{misbehaviour}: rejected {was_rejected} after {} ms", took.as_millis());
+                        format!("{misbehaviour}: ended after {elapsed} ms (rejected: {was_rejected})");
                     findings.add(Invariant::MisbehavingClientsRejected, entry.at, client.router, detail);
                 }
             }
--- a/crates/fault-soak/src/oracle/mod.rs
+++ b/crates/fault-soak/src/oracle/mod.rs
@@ -1,7 +1,7 @@
-//! The oracle: it checks the history of a run against the router's invariants.
+//! The oracle, which checks the history of a run against the router's invariants.
 //!
-//! [`Observations`] groups the records by request, router process and worker. Each module beside it checks the
-//! invariants of one subject.
+//! [`Observations`] groups the records by request, router process and worker. Each of the other modules
+//! checks one group of invariants.
 
 mod attempts;
 mod membership;
@@ -24,11 +24,12 @@
 use std::time::Duration;
 use verdict::Findings;
 
-/// The time by which the stand-ins may observe something late in the ordinary course of a run.
-const TOLERANCE: Duration = Duration::from_millis(20);
+/// The delay with which the emulated fleet may observe an event in normal operation.
+const OBSERVATION_DELAY: Duration = Duration::from_millis(20);
 
-/// Judges a run. `observed` is the time after the recovery in which service has to be back to normal.
-pub fn judge(entries: &[Entry], deployment: &Deployment, observed: Range<Timestamp>) -> Verdict {
+/// Checks the history of a run. The success rate has to be back to normal in `observation_window`, which
+/// follows the recovery period.
+pub fn judge(entries: &[Entry], deployment: &Deployment, observation_window: Range<Timestamp>) -> Verdict {
     let run = Observations::new(entries);
     let mut findings = Findings::new(&run);
     responses::check(&run, &mut findings);
@@ -38,11 +39,11 @@
     slow_start::check(&run, deployment, &mut findings);
     misbehaving_clients::check(&run, &mut findings);
     processes::check(&run, deployment, &mut findings);
-    let recovered_share = recovery::check(&run, deployment, &observed, &mut findings);
+    let recovered_share = recovery::check(&run, deployment, &observation_window, &mut findings);
     let summary = Summary {
-        outcomes: responses::outcomes(&run),
+        outcomes: responses::count_outcomes(&run),
         recovered_share,
-        stream_delays: responses::stream_delays(&run),
+        stream_delays: responses::count_delayed_streams(&run),
     };
     Verdict { violations: findings.into_violations(), summary }
 }
--- a/crates/fault-soak/src/oracle/observations/builder.rs
+++ b/crates/fault-soak/src/oracle/observations/builder.rs
@@ -1,8 +1,8 @@
-//! Groups the records of a run, one after another.
+//! Builds [`Observations`] from the records of a run.
 
 use super::{
-    Attempt, AttemptResponse, Exit, HarnessDelay, Incarnation, Observations, Request, Reservation, Response,
-    ResponseEnd, Sent, Transmission, Unanswered, WorkerProperties,
+    Attempt, AttemptResponse, ConnectionFailure, Exit, HarnessDelay, Incarnation, Observations, Request,
+    RequestSent, Reservation, Response, ResponseEnd, Transmission, WorkerProperties,
 };
 use fleet_emulator::clock::Timestamp;
 use fleet_emulator::history::Entry;
@@ -22,7 +22,7 @@
 
 struct Builder {
     observations: Observations,
-    /// The request of the last attempt that each connection carried.
+    /// The request of the latest attempt on each connection.
     last_request: HashMap<ConnectionNumber, RequestId>,
 }
 
@@ -34,7 +34,7 @@
                 self.observations.workers.insert(*worker, properties);
             }
             Record::HarnessDelayed { by } => {
-                self.observations.harness_delays.push(HarnessDelay { at, by: *by });
+                self.observations.harness_delays.push(HarnessDelay { ended: at, duration: *by });
             }
             Record::RequestStarted { .. } => self.add_transmission(at, record),
             Record::CallStarted { .. } | Record::CallReceived { .. } | Record::CallCompleted { .. } => {
@@ -75,10 +75,10 @@
             sent: None,
             prior_requests: *prior_requests,
             is_resent: *is_resent,
-            unanswered: None,
+            connection_failure: None,
         };
-        let known = self.observations.requests.entry(request.clone()).or_insert_with(new_request);
-        known.transmissions.push(transmission);
+        let request = self.observations.requests.entry(request.clone()).or_insert_with(new_request);
+        request.transmissions.push(transmission);
     }
 
     fn add_call(&mut self, at: Timestamp, record: &Record) {
@@ -117,7 +117,8 @@
                 let (had_no_effect, is_complete) = (*had_no_effect, *is_complete);
                 let response = AttemptResponse { at, status: *status, had_no_effect, is_complete };
                 if let Some(attempt) = self.attempt(request, *connection) {
-                    // Later responses on the connection belong to other calls.
+                    // Only the first response belongs to the attempt: the connection may carry other calls
+                    // later.
                     attempt.response.get_or_insert(response);
                 }
             }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The last attempt for a request that a connection carried.
+    /// The latest attempt for a request on a connection.
     fn attempt(&mut self, request: &RequestId, connection: ConnectionNumber) -> Option<&mut Attempt> {
         let attempts = &mut self.observations.requests.get_mut(request)?.attempts;
         attempts.iter_mut().rev().find(|attempt| attempt.connection == connection)
@@ -153,7 +154,7 @@
         match record {
             Record::RequestSent { first_token_timeout, .. } => {
                 if let Some(transmission) = request.transmissions.last_mut() {
-                    transmission.sent = Some(Sent { at, first_token_timeout: *first_token_timeout });
+                    transmission.sent = Some(RequestSent { at, first_token_timeout: *first_token_timeout });
                 }
             }
             Record::ClientDisconnected { .. } => request.client_disconnected = Some(at),
@@ -169,7 +170,7 @@
             }
             Record::ConnectionEndedUnanswered { end, .. } => {
                 if let Some(transmission) = request.transmissions.last_mut() {
-                    transmission.unanswered = Some(Unanswered { at, end: *end });
+                    transmission.connection_failure = Some(ConnectionFailure { at, kind: *end });
                 }
             }
             Record::ResponseTimedOut { .. } => request.timed_out = Some(at),
--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -10,32 +10,32 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Observations this close to a delay of the harness are doubtful.
-const DOUBTFUL_PERIOD: Duration = Duration::from_millis(300);
+/// Observations within this time of a harness delay are doubtful.
+const DOUBTFUL_MARGIN: Duration = Duration::from_millis(300);
 
-/// The last byte of a request, as its client wrote it.
+/// The completion of a request by its client.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
-    /// When the byte was written.
+pub struct RequestSent {
+    /// When the client wrote the last byte.
     pub at: Timestamp,
     /// The time within which the client expects the first token.
     pub first_token_timeout: Duration,
 }
 
-impl Sent {
-    /// The deadline of the request.
+impl RequestSent {
+    /// The deadline for the first token.
     pub fn deadline(&self) -> Timestamp {
         self.at + self.first_token_timeout
     }
 }
 
-/// The end of a client's connection on which no response had arrived.
+/// The failure of a client's connection before any byte of a response.
 #[derive(Clone, Copy, Debug)]
-pub struct Unanswered {
-    /// When the connection ended.
+pub struct ConnectionFailure {
+    /// When the connection failed.
     pub at: Timestamp,
-    /// How it ended.
-    pub end: ConnectionEnd,
+    /// The kind of failure.
+    pub kind: ConnectionEnd,
 }
 
 /// One transmission of a request by its client.
@@ -43,74 +43,74 @@
 pub struct Transmission {
     /// When the first byte was written.
     pub started: Timestamp,
-    /// The last byte, if it was written.
-    pub sent: Option<Sent>,
-    /// The number of requests that the connection had carried before.
+    /// The completion of the request, if its last byte was written.
+    pub sent: Option<RequestSent>,
+    /// The number of earlier requests on the connection.
     pub prior_requests: u32,
-    /// Whether the request is sent again because its first connection ended without a response.
+    /// Whether the client resent the request because its first connection ended without a response.
     pub is_resent: bool,
-    /// The end of the connection, if no response had arrived by then.
-    pub unanswered: Option<Unanswered>,
+    /// The failure of the connection, if it failed before any byte of a response.
+    pub connection_failure: Option<ConnectionFailure>,
 }
 
-/// The head of the response that a client got.
+/// The head of the response that a client received.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// When it arrived.
     pub at: Timestamp,
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Whether there is a valid `Retry-After` header.
+    /// Whether the response has a valid `Retry-After` header.
     pub has_retry_after: bool,
 }
 
 impl Response {
-    /// Whether the router shed the request and the client may try again.
+    /// Whether the router shed the request, so that the client may retry it.
     pub fn is_rejection(&self) -> bool {
         matches!(self.status, 429 | 503)
     }
 }
 
-/// The end of the response that a client got.
+/// The end of the response that a client received.
 #[derive(Clone, Debug)]
 pub struct ResponseEnd {
     /// When it arrived.
     pub at: Timestamp,
-    /// Whether the response reached its proper end.
+    /// Whether the response was complete.
     pub is_complete: bool,
-    /// Whether all events are those that one worker sent, in order.
+    /// Whether the events are exactly those of one worker, in order.
     pub is_intact: bool,
-    /// The longest time that an event took from its worker to the client.
+    /// The longest delay of an event between its worker and the client.
     pub longest_delay: Duration,
 }
 
 /// A worker's response to an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResponse {
-    /// When it was handed to the network.
+    /// When the worker had written it.
     pub at: Timestamp,
-    /// The status, or 0 if the worker broke the connection instead.
+    /// The HTTP status code, or 0 if the worker closed the connection instead.
     pub status: u16,
     /// Whether it proves that the request was not executed.
     pub had_no_effect: bool,
-    /// Whether it reached its proper end.
+    /// Whether it was complete.
     pub is_complete: bool,
 }
 
-/// One attempt to have a worker serve a request.
+/// One attempt of a router to have a worker serve a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The connection that carries the attempt.
     pub connection: ConnectionNumber,
-    /// The router.
+    /// The router that made the attempt.
     pub router: RouterIndex,
-    /// The worker.
+    /// The worker that the router selected.
     pub worker: WorkerIndex,
     /// When the router wrote the first byte.
     pub started: Timestamp,
-    /// The time limit that the worker got.
+    /// The timeout that the router sent to the worker.
     pub propagated_timeout: Option<Duration>,
-    /// When the last byte reached the running worker.
+    /// When the last byte reached the worker, if its process was running.
     pub received: Option<Timestamp>,
     /// The worker's response.
     pub response: Option<AttemptResponse>,
@@ -118,7 +118,7 @@
     pub closed_by_router: Option<Timestamp>,
     /// When the worker or the network closed the connection.
     pub closed_by_worker: Option<Timestamp>,
-    /// Whether the connection stalled at some time.
+    /// Whether the connection stalled at any time.
     pub was_stalled: bool,
 }
 
@@ -136,51 +136,51 @@
     }
 }
 
-/// The reservation of a request's KV cache.
+/// The reservation of a request's KV cache by a prefill worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Reservation {
-    /// When it began.
+    /// When the reservation began.
     pub at: Timestamp,
     /// The prefill worker that holds the cache.
     pub worker: WorkerIndex,
 }
 
-/// A request with everything that was observed of it.
+/// A request and all observations of it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The id of the request.
+    /// The value of the `x-request-id` header.
     pub id: RequestId,
-    /// The router.
+    /// The router to which the client sent the request.
     pub router: RouterIndex,
     /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
     /// The transmissions by the client.
     pub transmissions: Vec<Transmission>,
-    /// When the client disconnected.
+    /// When the client disconnected before the end of the response.
     pub client_disconnected: Option<Timestamp>,
     /// The head of the response.
     pub response: Option<Response>,
-    /// When the first event arrived.
+    /// When the first event of the stream arrived.
     pub first_event: Option<Timestamp>,
     /// The end of the response.
     pub response_end: Option<ResponseEnd>,
-    /// When the client stopped waiting, long after the deadline.
+    /// When the client timed out, long after the deadline.
     pub timed_out: Option<Timestamp>,
     /// The attempts, in the order of their first bytes.
     pub attempts: Vec<Attempt>,
     /// The reservations of the KV cache at prefill workers.
     pub reservations: Vec<Reservation>,
-    /// When reservations ended.
+    /// The times at which reservations ended.
     pub reservation_ends: Vec<Timestamp>,
 }
 
 impl Request {
-    /// The last transmission that was complete.
-    pub fn sent(&self) -> Option<Sent> {
+    /// The last complete transmission.
+    pub fn sent(&self) -> Option<RequestSent> {
         self.transmissions.iter().rev().find_map(|transmission| transmission.sent)
     }
 
-    /// Whether the client got the whole stream.
+    /// Whether the client received the complete stream.
     pub fn is_completed(&self) -> bool {
         self.response.as_ref().is_some_and(|response| response.status == 200)
             && self.response_end.as_ref().is_some_and(|end| end.is_complete)
@@ -192,75 +192,74 @@
 pub struct Exit {
     /// When the process exited.
     pub at: Timestamp,
-    /// Whether it was killed, or was asked to terminate and reported success.
+    /// Whether the process was killed, or exited successfully after SIGTERM.
     pub was_expected: bool,
     /// The exit status as text.
     pub status: String,
 }
 
-/// One process of a router, from its start to its exit.
+/// The lifetime of one router process.
 #[derive(Clone, Debug)]
 pub struct Incarnation {
     /// When the process started.
     pub started: Timestamp,
-    /// When it was ready.
+    /// When the process became ready.
     pub ready: Option<Timestamp>,
-    /// When it was asked to terminate.
+    /// When it received SIGTERM.
     pub terminated: Option<Timestamp>,
-    /// When it was killed.
+    /// When it received SIGKILL.
     pub killed: Option<Timestamp>,
-    /// Its exit.
+    /// The exit of the process.
     pub exit: Option<Exit>,
 }
 
-/// The properties of a worker.
+/// The role and location of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerProperties {
-    /// The role.
+    /// Whether the worker serves prefill or decode calls.
     pub role: Role,
-    /// The zone.
+    /// The zone of the worker.
     pub zone: u64,
-    /// The cell.
+    /// The cell of the worker.
     pub cell: u64,
 }
 
-/// A delay of the harness.
+/// A period in which the timers of the test harness fired late.
 #[derive(Clone, Copy, Debug)]
 struct HarnessDelay {
-    /// When the delay ended.
-    at: Timestamp,
-    by: Duration,
+    ended: Timestamp,
+    duration: Duration,
 }
 
-/// The records of a run, grouped.
+/// The records of a run, grouped by subject.
 #[derive(Debug, Default)]
 pub struct Observations {
     /// All records, in the order of their timestamps.
     pub entries: Vec<Entry>,
-    /// The requests.
+    /// The requests by id.
     pub requests: BTreeMap<RequestId, Request>,
-    /// The processes of each router, in the order of their starts.
+    /// The processes of each router, in starting order.
     pub incarnations: BTreeMap<RouterIndex, Vec<Incarnation>>,
-    /// The workers.
+    /// The properties of each worker.
     pub workers: HashMap<WorkerIndex, WorkerProperties>,
     harness_delays: Vec<HarnessDelay>,
 }
 
 impl Observations {
-    /// Groups records, which have to be in the order of their timestamps.
+    /// Groups the records of a run, which must be in the order of their timestamps.
     pub fn new(entries: &[Entry]) -> Self {
         builder::build(entries)
     }
 
-    /// Whether the harness was delayed around a time, so that what it observed then is doubtful.
+    /// Whether the test harness was delayed around a time, so that observations of that time are doubtful.
     pub fn was_harness_delayed_around(&self, at: Timestamp) -> bool {
         self.harness_delays.iter().any(|delay| {
-            let from = delay.at - (delay.by + DOUBTFUL_PERIOD);
-            (from..=delay.at + DOUBTFUL_PERIOD).contains(&at)
+            let from = delay.ended - (delay.duration + DOUBTFUL_MARGIN);
+            (from..=delay.ended + DOUBTFUL_MARGIN).contains(&at)
         })
     }
 
-    /// The process of a router that ran, or had run last, at a time.
+    /// The latest process of a router that had started by a given time.
     pub fn incarnation(&self, router: RouterIndex, at: Timestamp) -> Option<&Incarnation> {
         self.incarnations.get(&router)?.iter().rev().find(|incarnation| incarnation.started <= at)
     }
--- a/crates/fault-soak/src/oracle/processes.rs
+++ b/crates/fault-soak/src/oracle/processes.rs
@@ -1,4 +1,4 @@
-//! Checks router processes: their exits, their readiness, their resources and their logs.
+//! Checks the exits, readiness, resource usage and logs of router processes.
 
 use super::observations::{Incarnation, Observations};
 use super::verdict::{Findings, Invariant};
@@ -6,7 +6,7 @@
 use fleet_emulator::record::{Record, RouterIndex};
 use std::time::Duration;
 
-/// The time within which a router has to be ready.
+/// The time within which a router process has to become ready.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
 const KILOBYTES_PER_MEGABYTE: u64 = 1024;
 
@@ -26,7 +26,7 @@
                 let is_within_limits = *memory_kb <= deployment.max_memory_mb as u64 * KILOBYTES_PER_MEGABYTE
                     && *descriptors <= deployment.max_descriptors;
                 if !is_within_limits {
-                    let detail = format!("{memory_kb} KB, {descriptors} descriptors");
+                    let detail = format!("{memory_kb} KB of memory, {descriptors} file descriptors");
                     findings.add(Invariant::ResourceLimits, entry.at, *router, detail);
                 }
             }
@@ -40,12 +40,15 @@
     if let Some(exit) = incarnation.exit.as_ref().filter(|exit| !exit.was_expected) {
         findings.add(Invariant::NoCrash, exit.at, router, exit.status.clone());
     }
-    let took = incarnation.ready.map(|ready| ready.since(started));
-    let is_late = took.is_none_or(|took| took > READINESS_TIMEOUT);
+    let time_to_ready = incarnation.ready.map(|ready| ready.since(started));
+    let is_late = time_to_ready.is_none_or(|time| time > READINESS_TIMEOUT);
     let exited_early =
         incarnation.exit.as_ref().is_some_and(|exit| exit.at.since(started) < READINESS_TIMEOUT);
     if is_late && !exited_early {
-        let detail = format!("ready after {:?} ms", took.map(|took| took.as_millis()));
+        let detail = match time_to_ready {
+            Some(time) => format!("ready after {} ms", time.as_millis()),
+            None => "never became ready".to_owned(),
+        };
         findings.add(Invariant::ReadyInTime, started, router, detail);
     }
 }
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -1,4 +1,4 @@
-//! Checks that service is back to normal soon after the last fault.
+//! Checks that the success rate is back to normal soon after the last fault.
 
 use super::observations::{Observations, Request};
 use super::verdict::{Findings, Invariant};
@@ -9,48 +9,50 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Requests with a shorter timeout than this share of the longest one may be rejected at any time.
+/// A request whose timeout is below this share of the longest one is not counted: it may be rejected at any
+/// time.
 const MIN_TIMEOUT_SHARE: f64 = 0.25;
-/// The share of its requests that each router has to serve.
+/// The minimum share of its requests that each router has to serve.
 const MIN_SERVED_SHARE: f64 = 0.9;
-/// The smallest number of requests from which a share is computed.
+/// The minimum number of requests at a router for its share to be checked.
 const MIN_REQUESTS: usize = 10;
 
-/// The requests of one router after the recovery.
+/// The number of requests at one router in the observation window.
 #[derive(Clone, Copy, Default)]
-struct Tally {
+struct RequestCounts {
     served: usize,
-    all: usize,
+    total: usize,
 }
 
-/// Checks each router, and returns the share of all requests that were served.
+/// Checks each router, and returns the share of served requests over all routers.
 pub(super) fn check(
     run: &Observations,
     deployment: &Deployment,
-    observed: &Range<Timestamp>,
+    observation_window: &Range<Timestamp>,
     findings: &mut Findings<'_>,
 ) -> f64 {
     let min_timeout = deployment.scenario.max_deadline.mul_f64(MIN_TIMEOUT_SHARE);
-    let mut routers: BTreeMap<RouterIndex, Tally> = BTreeMap::new();
-    for request in run.requests.values().filter(|request| counts(request, observed, min_timeout)) {
-        let tally = routers.entry(request.router).or_default();
-        tally.served += usize::from(request.is_completed());
-        tally.all += 1;
+    let mut routers: BTreeMap<RouterIndex, RequestCounts> = BTreeMap::new();
+    let is_relevant = |request: &&Request| is_counted(request, observation_window, min_timeout);
+    for request in run.requests.values().filter(is_relevant) {
+        let counts = routers.entry(request.router).or_default();
+        counts.served += usize::from(request.is_completed());
+        counts.total += 1;
     }
-    for (router, Tally { served, all }) in &routers {
-        if *all >= MIN_REQUESTS && (*served as f64) < MIN_SERVED_SHARE * *all as f64 {
-            let detail = format!("{served} of {all} requests served after the faults");
-            findings.add(Invariant::Recovery, observed.end, *router, detail);
+    for (router, RequestCounts { served, total }) in &routers {
+        if *total >= MIN_REQUESTS && (*served as f64) < MIN_SERVED_SHARE * *total as f64 {
+            let detail = format!("{served} of {total} requests served after the recovery period");
+            findings.add(Invariant::Recovery, observation_window.end, *router, detail);
         }
     }
-    let served: usize = routers.values().map(|tally| tally.served).sum();
-    let all: usize = routers.values().map(|tally| tally.all).sum();
-    served as f64 / all.max(1) as f64
+    let served: usize = routers.values().map(|counts| counts.served).sum();
+    let total: usize = routers.values().map(|counts| counts.total).sum();
+    served as f64 / total.max(1) as f64
 }
 
-fn counts(request: &Request, observed: &Range<Timestamp>, min_timeout: Duration) -> bool {
+fn is_counted(request: &Request, observation_window: &Range<Timestamp>, min_timeout: Duration) -> bool {
     let Some(sent) = request.sent() else { return false };
-    observed.contains(&sent.at)
+    observation_window.contains(&sent.at)
         && sent.first_token_timeout >= min_timeout
         && request.client_disconnected.is_none()
 }
--- a/crates/fault-soak/src/oracle/reservations.rs
+++ b/crates/fault-soak/src/oracle/reservations.rs
@@ -1,16 +1,16 @@
-//! Checks that the KV caches that prefill workers reserve are fetched or released in time.
+//! Checks that reserved KV caches are fetched or released in time.
 
-use super::TOLERANCE;
+use super::OBSERVATION_DELAY;
 use super::observations::{Observations, Request, Reservation};
 use super::verdict::{Findings, Invariant};
 use crate::deployment::Deployment;
 use fleet_emulator::clock::Timestamp;
 use std::time::Duration;
 
-/// The time by which the limit of the settings may be exceeded.
-const SLACK: Duration = Duration::from_millis(300);
-/// The longest time that is reported, for reservations that never ended.
-const MAX_REPORTED: Duration = Duration::from_secs(60);
+/// The time by which a release may exceed the configured timeout.
+const RELEASE_SLACK: Duration = Duration::from_millis(300);
+/// The upper bound on reported durations, for reservations that never ended.
+const MAX_REPORTED_DURATION: Duration = Duration::from_secs(60);
 
 /// Checks every reservation.
 pub(super) fn check(run: &Observations, deployment: &Deployment, findings: &mut Findings<'_>) {
@@ -30,23 +30,24 @@
 ) {
     let end = request.reservation_ends.iter().copied().find(|end| *end >= reservation.at);
     let end = end.unwrap_or(Timestamp::MAX);
-    let limit = deployment.release_timeout + SLACK + TOLERANCE;
+    let limit = deployment.release_timeout + RELEASE_SLACK + OBSERVATION_DELAY;
     let longest = longest_idle_period(request, reservation.at, end);
     let Some(idle) = longest.filter(|idle| idle.length() > limit) else { return };
     let router = request.attempts.first().map_or(request.router, |attempt| attempt.router);
-    // No router is responsible for what a process left behind that was killed or exited.
+    // A reservation that was orphaned by the end of its router process is not a violation.
     let incarnation = run.incarnation(router, reservation.at);
     let ended = incarnation
         .and_then(|incarnation| incarnation.killed.or(incarnation.exit.as_ref().map(|exit| exit.at)));
     if ended.is_some_and(|ended| ended <= idle.from + limit) {
         return;
     }
-    let time = idle.until.min(idle.from + MAX_REPORTED).since(idle.from).as_millis();
-    let detail = format!("reserved at worker {} for {time} ms with no attempt in flight", reservation.worker);
+    let duration = idle.until.min(idle.from + MAX_REPORTED_DURATION).since(idle.from).as_millis();
+    let worker = reservation.worker;
+    let detail = format!("reserved at worker {worker} for {duration} ms with no attempt in flight");
     findings.add_for(request, Invariant::CacheReleased, idle.from + limit, router, detail);
 }
 
-/// A time in which no attempt of a request was in flight.
+/// A period in which no attempt for a request was in flight.
 #[derive(Clone, Copy)]
 struct IdlePeriod {
     from: Timestamp,
@@ -59,7 +60,7 @@
     }
 }
 
-/// The longest time between `start` and `end` in which no attempt was in flight at a running worker.
+/// The longest period between `start` and `end` in which no attempt was in flight at a running worker.
 fn longest_idle_period(request: &Request, start: Timestamp, end: Timestamp) -> Option<IdlePeriod> {
     let mut in_flight: Vec<(Timestamp, Timestamp)> = request
         .attempts
@@ -76,7 +77,7 @@
     longer(longest, IdlePeriod { from, until: end })
 }
 
-/// The longer of two periods, and the first one if they are equal. An empty period counts as none.
+/// The longer of two periods, or the first one if they are equal. Empty periods are ignored.
 fn longer(longest: Option<IdlePeriod>, other: IdlePeriod) -> Option<IdlePeriod> {
     if other.length().is_zero() || longest.is_some_and(|longest| longest.length() >= other.length()) {
         return longest;
--- a/crates/fault-soak/src/oracle/responses.rs
+++ b/crates/fault-soak/src/oracle/responses.rs
@@ -1,29 +1,28 @@
-//! Checks the responses and streams that clients got.
+//! Checks the responses and streams that clients received.
 
-use super::TOLERANCE;
+use super::OBSERVATION_DELAY;
 use super::observations::{
-    Attempt, Incarnation, Observations, Request, Response, ResponseEnd, Sent, Unanswered,
+    Attempt, ConnectionFailure, Incarnation, Observations, Request, RequestSent, Response, ResponseEnd,
 };
 use super::verdict::{Findings, Invariant, RequestOutcome, StreamDelays};
-use fleet_emulator::clock::Timestamp;
 use fleet_emulator::record::ConnectionEnd;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A response that arrives later than this after the deadline counts as missing.
-const MAX_LATENESS: Duration = Duration::from_millis(500);
-/// A request that arrives this long after SIGTERM has to be answered before the process is killed.
-const LATE_ARRIVAL: Duration = Duration::from_millis(700);
-/// The time after SIGTERM during which new connections still arrive.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
+/// A request sent later than this after SIGTERM has to be answered before the process is killed.
+const LATE_REQUEST_THRESHOLD: Duration = Duration::from_millis(700);
+/// The time after SIGTERM during which the load balancer still sends new connections.
 const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(400);
-/// An event counts as late when it takes longer than this from its worker to the client.
+/// An event that takes longer than this from its worker to the client counts as late.
 const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
 
 /// Checks every request.
 pub(super) fn check(run: &Observations, findings: &mut Findings<'_>) {
     for request in run.requests.values() {
         check_final_response(run, findings, request);
-        check_resent(run, findings, request);
+        check_resent_request(run, findings, request);
         check_stream(run, findings, request);
     }
 }
@@ -38,26 +37,32 @@
         return;
     }
     let transmission = request.transmissions.last();
-    let unanswered = transmission.and_then(|transmission| transmission.unanswered);
-    if let Some(Unanswered { at, end }) = unanswered {
-        if !may_end_unanswered(run, request, sent, at, end) {
+    let failure = transmission.and_then(|transmission| transmission.connection_failure);
+    if let Some(failure @ ConnectionFailure { at, kind }) = failure {
+        if !is_failure_allowed(run, request, sent, failure) {
             let prior_requests = transmission.map_or(0, |transmission| transmission.prior_requests);
             let waited = at.since(sent.at).as_millis();
             let detail = format!(
-                "connection {end:?} without a response after {waited} ms, {prior_requests} requests before"
+                "connection {kind:?} without a response after {waited} ms, {prior_requests} prior requests"
             );
             findings.add_for(request, Invariant::FinalResponse, at, request.router, detail);
         }
         return;
     }
     if let Some(at) = request.timed_out {
-        findings.add_for(request, Invariant::FinalResponse, at, request.router, "no response at all");
+        let detail = "no response before the client timed out";
+        findings.add_for(request, Invariant::FinalResponse, at, request.router, detail);
     }
 }
 
-fn check_response_head(findings: &mut Findings<'_>, request: &Request, sent: Sent, response: &Response) {
+fn check_response_head(
+    findings: &mut Findings<'_>,
+    request: &Request,
+    sent: RequestSent,
+    response: &Response,
+) {
     let late_by = response.at.since(sent.deadline());
-    if late_by > MAX_LATENESS {
+    if late_by > MAX_RESPONSE_DELAY {
         let detail = format!("response {} ms after the deadline", late_by.as_millis());
         findings.add_for(request, Invariant::FinalResponse, response.at, request.router, detail);
     }
@@ -67,50 +72,51 @@
     }
 }
 
-/// Whether a connection may have ended without a response, because its router was shut down or killed.
-fn may_end_unanswered(
+/// Whether a connection may fail without a response because its router was starting, shutting down or killed.
+fn is_failure_allowed(
     run: &Observations,
     request: &Request,
-    sent: Sent,
-    at: Timestamp,
-    end: ConnectionEnd,
+    sent: RequestSent,
+    failure: ConnectionFailure,
 ) -> bool {
+    let ConnectionFailure { at, kind } = failure;
     let Some(incarnation) = run.incarnation(request.router, sent.at) else { return true };
     let terminated = incarnation.terminated;
-    if end == ConnectionEnd::NotOpened {
+    if kind == ConnectionEnd::NotOpened {
         let has_stopped_listening =
             terminated.is_some_and(|terminated| at > terminated + LOAD_BALANCER_DELAY);
         // The load balancer sends new connections only to a process that is ready.
-        let listens_not_yet = incarnation.ready.is_none_or(|ready| at <= ready);
-        let was_killed = incarnation.killed.is_some_and(|killed| at + TOLERANCE >= killed);
-        return has_stopped_listening || listens_not_yet || was_killed;
+        let is_not_ready = incarnation.ready.is_none_or(|ready| at <= ready);
+        let was_killed = incarnation.killed.is_some_and(|killed| at + OBSERVATION_DELAY >= killed);
+        return has_stopped_listening || is_not_ready || was_killed;
     }
-    // The request may have been sent to the previous process, so only a kill up to the end of the connection counts.
-    let killed = incarnation.killed.filter(|killed| at + TOLERANCE >= *killed);
+    // The previous process may have received the request, so only a kill before the connection failed
+    // excuses it.
+    let killed = incarnation.killed.filter(|killed| at + OBSERVATION_DELAY >= *killed);
     killed.is_some() && !was_sent_late(incarnation, sent)
 }
 
 /// Whether a request was sent so long after SIGTERM that the process has to answer it before it is killed.
-fn was_sent_late(incarnation: &Incarnation, sent: Sent) -> bool {
-    incarnation.terminated.is_some_and(|terminated| sent.at > terminated + LATE_ARRIVAL)
+fn was_sent_late(incarnation: &Incarnation, sent: RequestSent) -> bool {
+    incarnation.terminated.is_some_and(|terminated| sent.at > terminated + LATE_REQUEST_THRESHOLD)
 }
 
-/// Checks that a connection ended under a request only before the request was read. The client sends such a request
-/// again, so it must not have been forwarded the first time.
-fn check_resent(run: &Observations, findings: &mut Findings<'_>, request: &Request) {
+/// Checks that a connection ended without a response only before its request was forwarded. The client
+/// resends such a request, so the router must not have forwarded it the first time.
+fn check_resent_request(run: &Observations, findings: &mut Findings<'_>, request: &Request) {
     let Some(resent) = request.transmissions.iter().find(|transmission| transmission.is_resent) else {
         return;
     };
-    let unanswered = request.transmissions.iter().find_map(|transmission| transmission.unanswered);
+    let failure = request.transmissions.iter().find_map(|transmission| transmission.connection_failure);
     let incarnation = run.incarnation(request.router, resent.started);
-    // A process that is killed ends all of its connections.
+    // Killing a process closes all of its connections.
     let killed = incarnation.and_then(|incarnation| incarnation.killed);
-    if killed.is_some_and(|killed| unanswered.is_some_and(|unanswered| unanswered.at >= killed)) {
+    if killed.is_some_and(|killed| failure.is_some_and(|failure| failure.at >= killed)) {
         return;
     }
     let forwarded = request.attempts.iter().find(|attempt| attempt.started < resent.started);
     if let Some(attempt) = forwarded {
-        let detail = "its first connection ended without a response, but the request had been forwarded";
+        let detail = "the connection ended without a response although the request had been forwarded";
         findings.add_for(request, Invariant::ForwardedThenAnswered, attempt.started, request.router, detail);
     }
 }
@@ -124,7 +130,7 @@
     }
     let Some(end) = &request.response_end else { return };
     if !end.is_intact {
-        let detail = "the events are not those that one worker sent";
+        let detail = "the events differ from those of any single worker";
         findings.add_for(request, Invariant::StreamIntact, end.at, request.router, detail);
     }
     let incarnation = run.incarnation(request.router, response.at);
@@ -133,17 +139,17 @@
         return;
     }
     if was_killed {
-        check_stream_at_kill(run, findings, request, response, end);
+        check_stream_of_killed_process(run, findings, request, response, end);
         return;
     }
     if request.attempts.iter().any(is_delivered_stream) {
-        let detail = "truncated, though its worker had completed it";
+        let detail = "truncated although its worker had completed it";
         findings.add_for(request, Invariant::StreamComplete, end.at, request.router, detail);
     }
 }
 
-/// Checks a stream that ended early and whose process was killed, then or later.
-fn check_stream_at_kill(
+/// Checks a truncated stream of a router process that was killed when the stream ended or later.
+fn check_stream_of_killed_process(
     run: &Observations,
     findings: &mut Findings<'_>,
     request: &Request,
@@ -151,22 +157,22 @@
     end: &ResponseEnd,
 ) {
     let Some(incarnation) = run.incarnation(request.router, response.at) else { return };
-    let ended_by_kill = incarnation.killed.is_some_and(|killed| end.at + TOLERANCE >= killed);
+    let ended_by_kill = incarnation.killed.is_some_and(|killed| end.at + OBSERVATION_DELAY >= killed);
     if ended_by_kill && request.sent().is_some_and(|sent| was_sent_late(incarnation, sent)) {
-        let detail = "taken late in a shutdown and cut off by the kill";
+        let detail = "accepted late in a shutdown and truncated by SIGKILL";
         findings.add_for(request, Invariant::StreamComplete, end.at, request.router, detail);
     }
 }
 
-/// Whether a worker completed a stream and the network delivered all of it to the router.
+/// Whether a worker completed a stream and the network delivered it to the router in full.
 fn is_delivered_stream(attempt: &Attempt) -> bool {
     let response = attempt.response.as_ref();
     let is_complete = response.is_some_and(|response| response.status == 200 && response.is_complete);
     is_complete && attempt.closed_by_worker.is_none() && !attempt.was_stalled
 }
 
-/// Counts the requests by their outcome.
-pub(super) fn outcomes(run: &Observations) -> BTreeMap<RequestOutcome, usize> {
+/// Counts the requests by outcome.
+pub(super) fn count_outcomes(run: &Observations) -> BTreeMap<RequestOutcome, usize> {
     let mut outcomes = BTreeMap::new();
     for request in run.requests.values() {
         *outcomes.entry(outcome(request)).or_default() += 1;
@@ -187,8 +193,8 @@
     }
 }
 
-/// Counts the streams, and those with an event that reached its client late.
-pub(super) fn stream_delays(run: &Observations) -> StreamDelays {
+/// Counts the streams, and those with at least one late event.
+pub(super) fn count_delayed_streams(run: &Observations) -> StreamDelays {
     let streams = run.requests.values().filter(|request| request.first_event.is_some());
     let ends: Vec<_> = streams.filter_map(|request| request.response_end.as_ref()).collect();
     let delayed = ends.iter().filter(|end| end.longest_delay > MAX_EVENT_DELAY).count();
--- a/crates/fault-soak/src/oracle/slow_start.rs
+++ b/crates/fault-soak/src/oracle/slow_start.rs
@@ -1,4 +1,4 @@
-//! Checks that a cold worker gets no more calls from all routers together than it can serve.
+//! Checks that a cold worker gets no more calls, from all routers together, than it can serve.
 
 use super::observations::Observations;
 use super::verdict::{Findings, Invariant};
@@ -8,13 +8,13 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The assumed ratio between what warm workers can serve and what they get.
-const HEADROOM: f64 = 1.5;
+/// The assumed ratio between the capacity of a warm worker and its mean call rate.
+const CAPACITY_HEADROOM: f64 = 1.5;
 
-/// Rates are computed over at least this time.
-const MIN_SPAN: Duration = Duration::from_secs(1);
+/// The shortest period over which a call rate is computed.
+const MIN_RATE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The times at which each worker received calls.
+/// The arrival times of the calls at each worker.
 type Arrivals = HashMap<WorkerIndex, Vec<Timestamp>>;
 
 /// The start of a cold worker.
@@ -40,25 +40,27 @@
         }
     }
     for start in starts {
-        let capacity = HEADROOM * mean_rate(run, &arrivals, start.role);
+        let capacity = CAPACITY_HEADROOM * mean_rate(run, &arrivals, start.role);
         let arrivals = arrivals.get(&start.worker).map_or(&[][..], Vec::as_slice);
         check_start(deployment, findings, &start, arrivals, capacity);
     }
 }
 
-/// The mean number of calls per second at a worker of a role.
+/// The mean call rate of the workers of a role, in calls per second.
 fn mean_rate(run: &Observations, arrivals: &Arrivals, role: Role) -> f64 {
     let has_role = |worker: &WorkerIndex| run.workers.get(worker).is_some_and(|worker| worker.role == role);
     let of_role: Vec<&Vec<Timestamp>> =
         arrivals.iter().filter(|(worker, _)| has_role(worker)).map(|(_, times)| times).collect();
     let rate = |times: &Vec<Timestamp>| {
-        let span = times.last().zip(times.first()).map_or(Duration::ZERO, |(last, first)| last.since(*first));
-        times.len() as f64 / span.max(MIN_SPAN).as_secs_f64()
+        let period =
+            times.last().zip(times.first()).map_or(Duration::ZERO, |(last, first)| last.since(*first));
+        times.len() as f64 / period.max(MIN_RATE_PERIOD).as_secs_f64()
     };
     of_role.iter().map(|times| rate(times)).sum::<f64>() / of_role.len().max(1) as f64
 }
 
-/// Checks the calls of each window that begins with a call to the cold worker, and reports the first excess.
+/// Checks each window that begins with a call to the cold worker, and reports the first one with too many
+/// calls.
 fn check_start(
     deployment: &Deployment,
     findings: &mut Findings<'_>,
@@ -76,7 +78,7 @@
         let slack = sampling_slack(budget);
         if count as f64 > budget + slack {
             let detail = format!(
-                "cold worker {} got {count} calls in a window from {} ms after its start, budget {budget:.1} + {slack:.1}",
+                "cold worker {} got {count} calls in a window from {} ms after its start; budget {budget:.1} + {slack:.1}",
                 start.worker,
                 from.since(start.at).as_millis()
             );
@@ -86,7 +88,8 @@
     }
 }
 
-/// The number of calls that a worker of some age can get within the overload window without collapsing.
+/// The number of calls that a worker can get within the overload window without being overloaded. `age` is
+/// the time since its start, and `capacity` its call rate when warm.
 fn budget(deployment: &Deployment, age: Duration, capacity: f64) -> f64 {
     let warm_up_progress = age.div_duration_f64(deployment.slow_start_duration);
     let warm_fraction = deployment.slow_start_floor + (1.0 - deployment.slow_start_floor) * warm_up_progress;
@@ -94,8 +97,8 @@
     deployment.overload_multiple * capacity * warm_fraction * window
 }
 
-/// The excess that random arrivals make likely: two standard deviations of a Poisson distribution, and three if the
-/// expected number is small.
+/// The excess over the budget that random arrivals explain: two standard deviations of a Poisson
+/// distribution, and three if the budget is small.
 fn sampling_slack(budget: f64) -> f64 {
     if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
 }
--- a/crates/fault-soak/src/oracle/verdict.rs
+++ b/crates/fault-soak/src/oracle/verdict.rs
@@ -1,4 +1,4 @@
-//! What the oracle finds: violated invariants, and a summary of what was served.
+//! The results of the oracle: violated invariants, and a summary of the request outcomes.
 
 use super::observations::{Observations, Request};
 use fleet_emulator::clock::Timestamp;
@@ -9,49 +9,49 @@
 /// An invariant of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// Each request that the router accepts gets one final response, in time.
+    /// Each request that the router accepts gets a final response in time.
     FinalResponse,
-    /// A connection on which a request was read and forwarded does not end without a response.
+    /// A connection does not end without a response after its request was forwarded.
     ForwardedThenAnswered,
-    /// A streamed response consists of what one worker sent, unaltered.
+    /// A streamed response consists of the unaltered events of one worker.
     StreamIntact,
     /// A stream that its worker completed is forwarded to its end.
     StreamComplete,
-    /// When a stream stalls for good, the connection of its client is closed in time.
+    /// The client connection of a permanently stalled stream is closed in time.
     DeadStreamClosed,
     /// No attempt starts for a client that has disconnected.
     NoAttemptAfterDisconnect,
-    /// No attempt starts for a request that has its response.
+    /// No attempt starts after the response.
     NoAttemptAfterResponse,
-    /// The time limit that a worker gets does not exceed the time that the client has left.
+    /// The timeout propagated to a worker does not exceed the remaining time of the client.
     DeadlinePropagated,
     /// The number of attempts for one request is limited.
     AttemptLimit,
     /// At most one attempt for a request is in flight.
     SingleAttemptInFlight,
-    /// A request that must not be executed twice is not.
+    /// A request is not executed more than once, unless its idempotency allows it.
     IdempotencyRespected,
     /// A rejection implies that sending the request again is harmless.
     RejectionSafeToRetry,
     /// A rejection has a `Retry-After` header.
     RetryAfterPresent,
-    /// A draining worker, or one that is gone, gets no new calls.
+    /// A draining or removed worker gets no new calls.
     DrainRespected,
     /// A reserved KV cache is fetched or released in time.
     CacheReleased,
-    /// A cold worker gets no more calls than it can serve.
+    /// A cold worker gets no more calls than it can serve while it warms up.
     SlowStart,
-    /// A misbehaving client gets an error, or its connection is closed, in time.
+    /// A misbehaving client gets an error response, or its connection is closed, in time.
     MisbehavingClientsRejected,
-    /// A process exits only when asked, and reports success then.
+    /// A process exits only on request, and after SIGTERM successfully.
     NoCrash,
-    /// A router that starts becomes ready in time.
+    /// A router process becomes ready in time after its start.
     ReadyInTime,
     /// Memory and file descriptors of a router stay within their limits.
     ResourceLimits,
     /// The router logs neither a panic nor a violation that it detected itself.
     CleanLog,
-    /// Service is back to normal soon after the last fault.
+    /// The success rate is back to normal soon after the last fault.
     Recovery,
 }
 
@@ -62,13 +62,13 @@
     pub invariant: Invariant,
     /// When it was violated.
     pub at: Timestamp,
-    /// The router.
+    /// The router that violated the invariant.
     pub router: RouterIndex,
-    /// The request, if the violation concerns one.
+    /// The affected request, if the violation concerns a single one.
     pub request: Option<RequestId>,
-    /// What was observed.
+    /// A description of the observation.
     pub detail: String,
-    /// Whether the harness was delayed around that time, which may explain the observation.
+    /// Whether the test harness was delayed around that time, which may explain the observation.
     pub is_doubtful: bool,
 }
 
@@ -76,12 +76,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Violation { invariant, router, detail, .. } = self;
         let request = self.request.as_deref().unwrap_or("-");
-        let doubt = if self.is_doubtful { " (doubtful: the harness was delayed)" } else { "" };
-        write!(formatter, "{invariant:?}: router {router}, request {request}: {detail}{doubt}")
+        let note = if self.is_doubtful { " (doubtful: the harness was delayed)" } else { "" };
+        write!(formatter, "{invariant:?}: router {router}, request {request}: {detail}{note}")
     }
 }
 
-/// The violations that the checks have found so far.
+/// The collector of the violations that the checks find.
 pub(super) struct Findings<'a> {
     run: &'a Observations,
     violations: Vec<Violation>,
@@ -92,7 +92,7 @@
         Findings { run, violations: Vec::new() }
     }
 
-    /// Adds a violation that concerns a router as a whole.
+    /// Adds a violation that concerns a router rather than a single request.
     pub(super) fn add(
         &mut self,
         invariant: Invariant,
@@ -105,7 +105,7 @@
         self.violations.push(Violation { invariant, at, router, request: None, detail, is_doubtful });
     }
 
-    /// Adds a violation that concerns a request.
+    /// Adds a violation that concerns a single request.
     pub(super) fn add_for(
         &mut self,
         request: &Request,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// All violations, by invariant and then by time.
+    /// All violations, ordered by invariant and then by time.
     pub(super) fn into_violations(self) -> Vec<Violation> {
         let mut violations = self.violations;
         violations.sort_by_key(|violation| (violation.invariant, violation.at));
@@ -128,48 +128,48 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a request, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// The client got the whole stream.
+    /// The client received the complete stream.
     Completed,
-    /// The stream ended early.
+    /// The stream was truncated.
     Truncated,
     /// The router rejected the request with 429 or 503.
     Rejected,
-    /// The client got another error.
+    /// The client received another error status.
     Failed,
-    /// The client got no response.
+    /// The client received no response.
     Unanswered,
-    /// The client disconnected.
+    /// The client disconnected before the end of the response.
     Disconnected,
 }
 
-/// How many streams had an event that reached its client late.
+/// The number of streams with late events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamDelays {
-    /// Streams with such an event.
+    /// Streams with at least one event that reached its client late.
     pub delayed: usize,
     /// All streams.
     pub total: usize,
 }
 
-/// What was served, in numbers.
+/// Statistics of the requests of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// The number of requests with each outcome.
     pub outcomes: BTreeMap<RequestOutcome, usize>,
-    /// The share of requests that were served after the recovery.
+    /// The share of requests in the observation window that were completed.
     pub recovered_share: f64,
-    /// Streams with late events.
+    /// The streams with late events.
     pub stream_delays: StreamDelays,
 }
 
-/// The result of judging a run.
+/// The oracle's result for a run.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// The violations, by invariant and then by time.
+    /// The violations, ordered by invariant and then by time.
     pub violations: Vec<Violation>,
-    /// What was served.
+    /// Statistics of the requests.
     pub summary: Summary,
 }
--- a/crates/fault-soak/tests/faults.rs
+++ b/crates/fault-soak/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The names of faults, by which the command line selects them.
+//! Tests of the fault names by which the command line selects faults.
 
 use fault_plan::SystemCallFault;
 use fault_soak::faults::{
@@ -6,15 +6,15 @@
     RouterFault, RouterFaultKind, WorkerFault, WorkerFaultKind, WorkerMisbehaviour,
 };
 
-/// One fault of each group, with its name and the name that earlier versions gave it.
-fn named_faults() -> Vec<(Fault, &'static str, &'static str)> {
+/// One fault of each group, with its current name and its former name.
+fn faults_with_names() -> Vec<(Fault, &'static str, &'static str)> {
     let faults = vec![SystemCallFault::LogFull];
-    let calls = RouterFaultKind::FailSystemCalls { faults, probability: 0.1 };
-    let spoils = WorkerFaultKind::Misbehave(WorkerMisbehaviour::MalformedResponses);
-    let pieces = LinkFaultKind::Degrade(LinkDegradation::Fragmentation);
+    let system_call_failure = RouterFaultKind::FailSystemCalls { faults, probability: 0.1 };
+    let malformed_responses = WorkerFaultKind::Misbehave(WorkerMisbehaviour::MalformedResponses);
+    let fragmentation = LinkFaultKind::Degrade(LinkDegradation::Fragmentation);
     vec![
         (
-            Fault::Router(RouterFault { routers: vec![0], kind: calls }),
+            Fault::Router(RouterFault { routers: vec![0], kind: system_call_failure }),
             "system-call-failure: [LogFull]",
             "CallsFail: [LogFull]",
         ),
@@ -24,12 +24,12 @@
             "DiscoveryDown",
         ),
         (
-            Fault::Worker(WorkerFault { workers: vec![0], kind: spoils }),
+            Fault::Worker(WorkerFault { workers: vec![0], kind: malformed_responses }),
             "worker-misbehaviour: malformed-responses",
             "WorkersMisbehave: spoils",
         ),
         (
-            Fault::Link(LinkFault { workers: vec![0], kind: pieces }),
+            Fault::Link(LinkFault { workers: vec![0], kind: fragmentation }),
             "link-degradation: fragmentation",
             "LinksFaulty: in pieces",
         ),
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn faults_are_selected_by_their_names_and_by_the_names_of_earlier_versions() {
-    for (fault, name, former_name) in named_faults() {
+fn faults_are_selected_by_their_current_and_former_names() {
+    for (fault, name, former_name) in faults_with_names() {
         assert_eq!(fault.name(), name);
         assert!(fault.is_named_like(name));
         assert!(fault.is_named_like(former_name), "{former_name}");
--- a/crates/fault-soak/tests/oracle.rs
+++ b/crates/fault-soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle on scripted histories: a correct one has no violation, and each violation is found.
+//! Tests of the oracle with scripted histories: it reports each violation, and none in a correct history.
 
 use fault_soak::deployment::Deployment;
 use fault_soak::oracle::{Invariant, judge};
@@ -13,17 +13,17 @@
 const PREFILL: usize = 0;
 const DECODE: usize = 1;
 const OTHER_DECODE: usize = 2;
-/// The time limit that workers get.
+/// The timeout that the router propagates to workers.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A history that is scripted one record after another.
+/// A history that a test scripts record by record.
 struct ScriptedHistory {
     now: Timestamp,
     entries: Vec<Entry>,
 }
 
 impl ScriptedHistory {
-    /// The start of a fleet of one router and three workers.
+    /// The start of a fleet of one router, one prefill worker and two decode workers.
     fn new() -> Self {
         let mut history = ScriptedHistory { now: Timestamp::from_micros(10_000_000), entries: Vec::new() };
         for (worker, role) in [(PREFILL, Role::Prefill), (DECODE, Role::Decode), (OTHER_DECODE, Role::Decode)]
@@ -39,13 +39,13 @@
         self
     }
 
-    /// Time passes.
+    /// Advances the clock of the history.
     fn after(&mut self, milliseconds: u64) -> &mut Self {
         self.now += Duration::from_millis(milliseconds);
         self
     }
 
-    /// A client sends a request on a connection that has carried none before.
+    /// A client sends a request on a new connection.
     fn request_sent(&mut self, idempotency: Idempotency) -> &mut Self {
         let started = Record::RequestStarted {
             request: "q".into(),
@@ -58,7 +58,7 @@
             .add(Record::RequestSent { request: "q".into(), first_token_timeout: Duration::from_secs(2) })
     }
 
-    /// The router starts an attempt on a connection of its own, with a time limit.
+    /// The router starts an attempt on a new connection and propagates a timeout.
     fn attempt_started(&mut self, worker: usize, connection: u64, timeout: Duration) -> &mut Self {
         let (call, request, propagated_timeout) = (CallKind::Attempt, "q".into(), Some(timeout));
         self.add(Record::CallStarted { call, request, router: 0, worker, connection, propagated_timeout })
@@ -88,14 +88,14 @@
         self.attempt_completed(PREFILL, 1, 202, true)
     }
 
-    /// The client gets a response.
+    /// The client receives a complete response.
     fn responded(&mut self, status: u16) -> &mut Self {
         self.add(Record::ResponseStarted { request: "q".into(), status, has_retry_after: true });
         let (is_intact, longest_delay) = (true, Duration::ZERO);
         self.add(Record::ResponseEnded { request: "q".into(), is_complete: true, is_intact, longest_delay })
     }
 
-    /// A decode worker fetches the KV cache and streams the whole response.
+    /// A decode worker fetches the KV cache and streams the complete response.
     fn served_by(&mut self, worker: usize, connection: u64) -> &mut Self {
         self.attempt_started(worker, connection, ATTEMPT_TIMEOUT).attempt_received(worker, connection);
         self.add(Record::CacheReservationEnded { request: "q".into() })
@@ -104,8 +104,8 @@
         self.add(Record::FirstEventReceived { request: "q".into() }).responded(200)
     }
 
-    /// The invariants that the oracle finds violated.
-    fn violated(&mut self) -> Vec<Invariant> {
+    /// The invariants that the oracle reports as violated.
+    fn violated_invariants(&mut self) -> Vec<Invariant> {
         let deployment = Deployment::draw(&mut StdRng::seed_from_u64(1), 1, Scenario::of_seed(1));
         let verdict = judge(&self.entries, &deployment, self.now..self.now);
         verdict.violations.into_iter().map(|violation| violation.invariant).collect()
@@ -113,36 +113,41 @@
 }
 
 #[test]
-fn a_request_that_is_served_violates_nothing() {
+fn a_correct_history_has_no_violation() {
     assert_eq!(
         ScriptedHistory::new()
             .request_sent(Idempotency::NonIdempotent)
             .prefilled()
             .after(5)
             .served_by(DECODE, 2)
-            .violated(),
+            .violated_invariants(),
         []
     );
 }
 
 #[test]
-fn a_request_without_a_response_is_found_unless_its_router_was_killed() {
-    let unanswered = || Record::ConnectionEndedUnanswered { request: "q".into(), end: ConnectionEnd::Reset };
+fn a_request_without_a_response_is_reported_unless_its_router_was_killed() {
+    let connection_reset =
+        || Record::ConnectionEndedUnanswered { request: "q".into(), end: ConnectionEnd::Reset };
     let mut history = ScriptedHistory::new();
-    history.request_sent(Idempotency::Idempotent).after(10).add(unanswered());
-    assert_eq!(history.violated(), [Invariant::FinalResponse]);
+    history.request_sent(Idempotency::Idempotent).after(10).add(connection_reset());
+    assert_eq!(history.violated_invariants(), [Invariant::FinalResponse]);
     let mut history = ScriptedHistory::new();
     history
         .request_sent(Idempotency::Idempotent)
         .after(10)
         .add(Record::RouterSignalled { router: 0, signal: RouterSignal::Kill });
-    assert_eq!(history.add(unanswered()).violated(), []);
+    assert_eq!(history.add(connection_reset()).violated_invariants(), []);
 }
 
 #[test]
-fn a_late_response_and_a_rejection_without_retry_after_are_found() {
+fn a_late_response_and_a_rejection_without_retry_after_are_reported() {
     assert_eq!(
-        ScriptedHistory::new().request_sent(Idempotency::Idempotent).after(2_600).responded(503).violated(),
+        ScriptedHistory::new()
+            .request_sent(Idempotency::Idempotent)
+            .after(2_600)
+            .responded(503)
+            .violated_invariants(),
         [Invariant::FinalResponse]
     );
     let mut history = ScriptedHistory::new();
@@ -151,44 +156,44 @@
         status: 503,
         has_retry_after: false,
     });
-    assert_eq!(history.violated(), [Invariant::RetryAfterPresent]);
+    assert_eq!(history.violated_invariants(), [Invariant::RetryAfterPresent]);
 }
 
 #[test]
-fn an_attempt_after_the_client_disconnected_is_found() {
+fn an_attempt_after_the_client_disconnected_is_reported() {
     let mut history = ScriptedHistory::new();
     history.request_sent(Idempotency::Idempotent).add(Record::ClientDisconnected { request: "q".into() });
     assert_eq!(
-        history.after(200).attempt_started(PREFILL, 1, ATTEMPT_TIMEOUT).violated(),
+        history.after(200).attempt_started(PREFILL, 1, ATTEMPT_TIMEOUT).violated_invariants(),
         [Invariant::NoAttemptAfterDisconnect]
     );
 }
 
 #[test]
-fn an_attempt_after_the_response_is_found() {
+fn an_attempt_after_the_response_is_reported() {
     let mut history = ScriptedHistory::new();
     history.request_sent(Idempotency::Idempotent).responded(503).after(50).attempt_started(
         PREFILL,
         1,
         ATTEMPT_TIMEOUT,
     );
-    assert_eq!(history.violated(), [Invariant::NoAttemptAfterResponse]);
+    assert_eq!(history.violated_invariants(), [Invariant::NoAttemptAfterResponse]);
 }
 
 #[test]
-fn a_propagated_timeout_beyond_the_deadline_is_found() {
+fn a_propagated_timeout_beyond_the_deadline_is_reported() {
     assert_eq!(
         ScriptedHistory::new()
             .request_sent(Idempotency::Idempotent)
             .attempt_started(PREFILL, 1, Duration::from_secs(3))
-            .violated(),
+            .violated_invariants(),
         [Invariant::DeadlinePropagated]
     );
 }
 
 #[test]
-fn a_concurrent_attempt_is_found_unless_the_first_one_was_cancelled() {
-    let two = |is_cancelled: bool| {
+fn a_concurrent_attempt_is_reported_unless_the_first_one_was_cancelled() {
+    let violations = |is_cancelled: bool| {
         let mut history = ScriptedHistory::new();
         history
             .request_sent(Idempotency::Idempotent)
@@ -199,14 +204,14 @@
             history.add(Record::ConnectionClosedByRouter { connection: 1 });
         }
         history.after(1).attempt_started(DECODE, 2, ATTEMPT_TIMEOUT).attempt_received(DECODE, 2).after(100);
-        history.add(Record::ConnectionClosedByRouter { connection: 1 }).violated()
+        history.add(Record::ConnectionClosedByRouter { connection: 1 }).violated_invariants()
     };
-    assert_eq!(two(true), []);
-    assert_eq!(two(false), [Invariant::SingleAttemptInFlight]);
+    assert_eq!(violations(true), []);
+    assert_eq!(violations(false), [Invariant::SingleAttemptInFlight]);
 }
 
 #[test]
-fn a_repeated_or_rejected_non_idempotent_request_is_found_after_it_may_have_been_executed() {
+fn repeating_or_rejecting_a_non_idempotent_request_that_may_have_been_executed_is_reported() {
     let mut history = ScriptedHistory::new();
     history
         .request_sent(Idempotency::NonIdempotent)
@@ -217,57 +222,60 @@
         .add(Record::CacheReservationEnded { request: "q".into() })
         .after(20)
         .attempt_completed(DECODE, 2, 500, false);
-    let entries = history.entries.clone();
+    let entries_until_error = history.entries.clone();
     assert_eq!(
         history
             .after(5)
             .attempt_started(OTHER_DECODE, 3, ATTEMPT_TIMEOUT)
             .attempt_received(OTHER_DECODE, 3)
-            .violated(),
+            .violated_invariants(),
         [Invariant::IdempotencyRespected]
     );
-    history.entries = entries;
-    assert_eq!(history.responded(503).violated(), [Invariant::RejectionSafeToRetry]);
+    history.entries = entries_until_error;
+    assert_eq!(history.responded(503).violated_invariants(), [Invariant::RejectionSafeToRetry]);
 }
 
 #[test]
-fn a_cache_that_stays_reserved_while_no_attempt_arrives_is_found() {
-    let reserved = |is_received: bool| {
+fn a_cache_that_stays_reserved_with_no_attempt_in_flight_is_reported() {
+    let violations = |is_received: bool| {
         let mut history = ScriptedHistory::new();
         history.request_sent(Idempotency::Idempotent).prefilled().attempt_started(DECODE, 2, ATTEMPT_TIMEOUT);
         if is_received {
             history.attempt_received(DECODE, 2);
         }
-        history.after(1_000).add(Record::CacheReservationEnded { request: "q".into() }).violated()
+        history.after(1_000).add(Record::CacheReservationEnded { request: "q".into() }).violated_invariants()
     };
-    assert_eq!(reserved(true), []);
-    assert_eq!(reserved(false), [Invariant::CacheReleased]);
+    assert_eq!(violations(true), []);
+    assert_eq!(violations(false), [Invariant::CacheReleased]);
 }
 
 #[test]
-fn an_attempt_at_a_draining_worker_is_found_after_the_grace_period() {
-    let drained = |is_disturbed: bool| {
+fn an_attempt_at_a_draining_worker_is_reported_after_the_grace_period() {
+    let violations = |is_disturbed: bool| {
         let mut history = ScriptedHistory::new();
         if is_disturbed {
             history.add(Record::DiscoveryDisturbed { router: 0, allowance: Duration::from_secs(6) });
         }
         history.add(Record::WorkerWithdrawn { router: 0, worker: PREFILL }).after(1_500);
-        history.request_sent(Idempotency::Idempotent).attempt_started(PREFILL, 1, ATTEMPT_TIMEOUT).violated()
+        history
+            .request_sent(Idempotency::Idempotent)
+            .attempt_started(PREFILL, 1, ATTEMPT_TIMEOUT)
+            .violated_invariants()
     };
-    assert_eq!(drained(true), []);
-    assert_eq!(drained(false), [Invariant::DrainRespected]);
+    assert_eq!(violations(true), []);
+    assert_eq!(violations(false), [Invariant::DrainRespected]);
 }
 
 #[test]
-fn a_process_that_crashes_is_found() {
+fn a_crashed_process_is_reported() {
     let mut history = ScriptedHistory::new();
     history.add(Record::RouterExited { router: 0, was_expected: false, status: "signal: 6".into() });
-    assert_eq!(history.violated(), [Invariant::NoCrash]);
+    assert_eq!(history.violated_invariants(), [Invariant::NoCrash]);
 }
 
 #[test]
-fn a_connection_that_is_refused_is_found_once_the_new_process_is_ready() {
-    let refused = |is_ready: bool| {
+fn a_refused_connection_is_reported_once_the_new_process_is_ready() {
+    let violations = |is_ready: bool| {
         let mut history = ScriptedHistory::new();
         history.add(Record::RouterStarted { router: 0 }).after(20);
         if is_ready {
@@ -280,15 +288,15 @@
         if !is_ready {
             history.after(20).add(Record::RouterReady { router: 0 });
         }
-        history.violated()
+        history.violated_invariants()
     };
-    assert_eq!(refused(false), []);
-    assert_eq!(refused(true), [Invariant::FinalResponse]);
+    assert_eq!(violations(false), []);
+    assert_eq!(violations(true), [Invariant::FinalResponse]);
 }
 
 #[test]
-fn a_stream_that_is_cut_off_by_the_kill_is_found_if_it_was_taken_late_in_the_shutdown() {
-    let cut_off = |sent_after_ms: u64| {
+fn a_stream_truncated_by_sigkill_is_reported_if_its_request_was_sent_late_in_the_shutdown() {
+    let violations = |sent_after_ms: u64| {
         let mut history = ScriptedHistory::new();
         let signal = RouterSignal::Terminate;
         history.add(Record::RouterSignalled { router: 0, signal }).after(sent_after_ms);
@@ -305,8 +313,8 @@
         let (is_complete, is_intact, longest_delay) = (false, true, Duration::ZERO);
         history
             .add(Record::ResponseEnded { request: "q".into(), is_complete, is_intact, longest_delay })
-            .violated()
+            .violated_invariants()
     };
-    assert_eq!(cut_off(600), []);
-    assert_eq!(cut_off(800), [Invariant::StreamComplete]);
+    assert_eq!(violations(600), []);
+    assert_eq!(violations(800), [Invariant::StreamComplete]);
 }
