--- a/crates/fault-soak/src/faults/clients.rs
+++ b/crates/fault-soak/src/faults/clients.rs
@@ -1,6 +1,6 @@
-//! Faults of clients: malformed and idle connections, and unusual load.
+//! Client faults: malformed requests, idle connections and unusual load.
 
-use crate::load::{LoadProfile, USUAL_DISCONNECT_SHARE};
+use crate::load::{DEFAULT_DISCONNECT_SHARE, LoadProfile};
 use crate::world::World;
 use fleet_emulator::misbehaving_client::{ClientMisbehaviour, send_misbehaving};
 use fleet_emulator::record::RouterIndex;
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The number of idle connections that are opened at once.
+/// The number of idle connections that the fault opens at once.
 const IDLE_CONNECTIONS: usize = 300;
-/// A crowd opens so many idle connections at each of its intervals: routers close them after some seconds.
-const CROWD_CONNECTIONS: usize = 100;
-/// The interval at which a crowd connects again.
-const CROWD_INTERVAL: Duration = Duration::from_millis(700);
+/// The number of idle connections that a flood opens per interval. Routers close them after some seconds.
+const FLOOD_CONNECTIONS: usize = 100;
+/// The interval at which a flood opens new connections.
+const FLOOD_INTERVAL: Duration = Duration::from_millis(700);
 
-/// A fault of clients.
+/// A fault of the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientFault {
     /// Clients send malformed and incomplete requests.
@@ -32,9 +32,9 @@
     Impatient,
     /// Many clients write their requests slowly.
     SlowWriting,
-    /// More requests than usual arrive.
+    /// The request rate is higher than usual.
     Burst {
-        /// The multiple of the usual rate.
+        /// The factor by which the rate is multiplied.
         rate_multiplier: f64,
     },
 }
@@ -54,13 +54,13 @@
         match self {
             ClientFault::Misbehaving { routers } => {
                 for router in routers.iter().copied() {
-                    tokio::spawn(send_misbehaving_clients(world.clone(), router, duration));
+                    tokio::spawn(run_misbehaving_clients(world.clone(), router, duration));
                 }
             }
             ClientFault::IdleConnections { routers } => {
                 for router in routers.iter().copied() {
                     (0..IDLE_CONNECTIONS)
-                        .for_each(|_| connect_misbehaving(world, router, ClientMisbehaviour::Silent));
+                        .for_each(|_| spawn_misbehaving_client(world, router, ClientMisbehaviour::Silent));
                 }
             }
             ClientFault::Impatient => world.load.update(|profile| profile.disconnect_share = 0.5),
@@ -73,9 +73,9 @@
 
     pub(super) fn revert(&self, world: &World) {
         let restore: fn(&mut LoadProfile) = match self {
-            // Misbehaving clients end by themselves, and routers close idle connections.
+            // Misbehaving clients end on their own, and routers close idle connections.
             ClientFault::Misbehaving { .. } | ClientFault::IdleConnections { .. } => return,
-            ClientFault::Impatient => |profile| profile.disconnect_share = USUAL_DISCONNECT_SHARE,
+            ClientFault::Impatient => |profile| profile.disconnect_share = DEFAULT_DISCONNECT_SHARE,
             ClientFault::SlowWriting => |profile| profile.slow_share = 0.0,
             ClientFault::Burst { .. } => |profile| profile.rate_multiplier = 1.0,
         };
@@ -83,25 +83,26 @@
     }
 }
 
-fn connect_misbehaving(world: &World, router: RouterIndex, misbehaviour: ClientMisbehaviour) {
+fn spawn_misbehaving_client(world: &World, router: RouterIndex, misbehaviour: ClientMisbehaviour) {
     let address = world.routers[router].address;
     tokio::spawn(send_misbehaving(router, address, misbehaviour, world.history().clone()));
 }
 
-async fn send_misbehaving_clients(world: Arc<World>, router: RouterIndex, duration: Duration) {
+async fn run_misbehaving_clients(world: Arc<World>, router: RouterIndex, duration: Duration) {
     let until = tokio::time::Instant::now() + duration;
     while tokio::time::Instant::now() < until {
         let choice = rand::rng().random_range(0..ClientMisbehaviour::ALL.len());
-        connect_misbehaving(&world, router, ClientMisbehaviour::ALL[choice]);
+        spawn_misbehaving_client(&world, router, ClientMisbehaviour::ALL[choice]);
         let pause = rand::rng().random_range(10..150);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
-/// Keeps the descriptors of a router filled with idle connections for as long as there is load.
-pub async fn keep_crowded(world: Arc<World>, router: RouterIndex) {
+/// Opens idle connections to a router until the load is finished, so that they occupy its file descriptors.
+pub async fn flood_with_idle_connections(world: Arc<World>, router: RouterIndex) {
     while !world.load.is_finished() {
-        (0..CROWD_CONNECTIONS).for_each(|_| connect_misbehaving(&world, router, ClientMisbehaviour::Silent));
-        tokio::time::sleep(CROWD_INTERVAL).await;
+        (0..FLOOD_CONNECTIONS)
+            .for_each(|_| spawn_misbehaving_client(&world, router, ClientMisbehaviour::Silent));
+        tokio::time::sleep(FLOOD_INTERVAL).await;
     }
 }
--- a/crates/fault-soak/src/faults/discovery.rs
+++ b/crates/fault-soak/src/faults/discovery.rs
@@ -8,18 +8,18 @@
 /// A fault of the discovery agents of some routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryFault {
-    /// The routers.
+    /// The routers whose agents are affected.
     pub routers: Vec<RouterIndex>,
-    /// What happens to their agents.
+    /// The kind of fault.
     pub kind: DiscoveryFaultKind,
 }
 
-/// What happens to a discovery agent.
+/// The kinds of faults of a discovery agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFaultKind {
-    /// The agent moves to another address, and its router reloads a configuration that names the new one.
+    /// The agent moves to another address, and its router reloads a configuration with the new address.
     Move,
-    /// The agent sends nothing and learns nothing.
+    /// The agent neither sends nor receives updates.
     Outage,
     /// Open watches stall.
     StallWatches,
@@ -43,7 +43,7 @@
 
 impl DiscoveryFault {
     pub(super) async fn inject(&self, world: &World) {
-        // All agents are late by the same time.
+        // All agents get the same delay.
         let delay = Duration::from_millis(rand::rng().random_range(100..900));
         for router in self.routers.iter().copied() {
             let agent = world.fleet.agent(router);
@@ -63,7 +63,7 @@
             match self.kind {
                 DiscoveryFaultKind::Outage => agent.set_unavailable(false),
                 DiscoveryFaultKind::Delay => agent.set_response_delay(Duration::ZERO),
-                // Routers open new watches by themselves, and a move is for good.
+                // Routers reopen watches on their own, and a move is permanent.
                 DiscoveryFaultKind::Move
                 | DiscoveryFaultKind::StallWatches
                 | DiscoveryFaultKind::ResetWatches => {}
--- a/crates/fault-soak/src/faults/links.rs
+++ b/crates/fault-soak/src/faults/links.rs
@@ -8,41 +8,41 @@
 /// A fault of the links to some workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkFault {
-    /// The workers.
+    /// The workers whose links are affected.
     pub workers: Vec<WorkerIndex>,
-    /// What happens to their links.
+    /// The kind of fault.
     pub kind: LinkFaultKind,
 }
 
-/// What happens to a link.
+/// The kinds of faults of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkFaultKind {
-    /// Nothing passes between the workers and some routers; open connections stay open.
+    /// No data passes between the workers and some routers, but open connections stay open.
     Partition {
-        /// The routers.
+        /// The routers on the other side of the partition.
         routers: Vec<RouterIndex>,
     },
     /// The links of all routers to the workers are degraded.
     Degrade(LinkDegradation),
 }
 
-/// How a link is degraded.
+/// The kinds of degradation of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDegradation {
-    /// Connections are reset under requests.
+    /// Connections are reset during requests.
     Resets,
-    /// Connections take long to establish.
+    /// Connections are established with a delay.
     ConnectDelay,
     /// Responses arrive in small fragments.
     Fragmentation,
     /// Idle connections are closed.
     IdleClose,
-    /// Idle connections are dropped silently: the next request is answered by a reset.
+    /// Idle connections are dropped silently: the next request gets a reset.
     IdleDrop,
 }
 
 impl LinkDegradation {
-    /// All of them, in the order from which the plan of a seed is drawn.
+    /// All variants. The plan that is drawn from a seed depends on their order.
     pub(super) const ALL: [LinkDegradation; 5] = [
         LinkDegradation::Resets,
         LinkDegradation::ConnectDelay,
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! The faults that a run injects, one module for each part of the world in which they strike.
+//! The faults that a run injects, one module for each kind of component that they affect.
 
 mod clients;
 mod discovery;
@@ -8,7 +8,7 @@
 mod routers;
 mod workers;
 
-pub use clients::{ClientFault, keep_crowded};
+pub use clients::{ClientFault, flood_with_idle_connections};
 pub use discovery::{DiscoveryFault, DiscoveryFaultKind};
 pub use links::{LinkDegradation, LinkFault, LinkFaultKind};
 pub use routers::{RouterFault, RouterFaultKind};
@@ -20,10 +20,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest time until discovery agents learn of a change at a worker, in milliseconds.
+/// The maximum delay until discovery agents learn of a change of a worker, in milliseconds.
 const MAX_DISCOVERY_DELAY_MS: u64 = 1_500;
 
-/// A fault.
+/// A fault that a run injects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// A fault of router processes or of their environment.
@@ -39,7 +39,7 @@
 }
 
 impl Fault {
-    /// The name of the kind of fault, without the routers and workers that it strikes.
+    /// The name of the kind of fault, without the affected routers and workers.
     pub fn name(&self) -> String {
         match self {
             Fault::Router(fault) => fault.kind.name(),
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Whether the name of the fault, or a name that earlier versions of the soak gave it, contains a text.
-    pub fn is_named_like(&self, text: &str) -> bool {
+    /// Whether the current or the former name of the fault contains a text.
+    pub fn name_contains(&self, text: &str) -> bool {
         let name = self.name();
         name.contains(text) || names::former_name(&name).is_some_and(|former| former.contains(text))
     }
 
-    /// Injects the fault, reverts it after a time and records both. Some faults take a part of that time to unfold,
-    /// for instance when they strike one router after another; the time counts from the end of that.
+    /// Injects the fault, reverts it after `duration` and records both. The duration counts from the end of
+    /// the injection, which takes time itself if it affects one router or worker after another.
     pub async fn run(&self, world: &Arc<World>, duration: Duration) {
         world.history().add(Record::FaultStarted { name: self.name() });
         self.inject(world, duration).await;
@@ -87,7 +87,7 @@
     }
 }
 
-/// Draws the time until discovery agents learn of a change at a worker.
+/// Draws the delay until discovery agents learn of a change of a worker.
 fn draw_discovery_delay() -> Duration {
     Duration::from_millis(rand::rng().random_range(0..MAX_DISCOVERY_DELAY_MS))
 }
--- a/crates/fault-soak/src/faults/names.rs
+++ b/crates/fault-soak/src/faults/names.rs
@@ -1,6 +1,6 @@
-//! Names that earlier versions of the soak gave to faults, which its command line still understands.
+//! Former names of faults, which the command line still accepts.
 
-/// The beginning of a name, and the text that stood in its place.
+/// Current prefixes of fault names, each with the former prefix that it replaced.
 const FORMER_NAMES: [(&str, &str); 34] = [
     ("router-restart", "RoutersEnd"),
     ("router-kill", "RoutersKilled"),
@@ -38,7 +38,7 @@
     ("load-burst", "Burst"),
 ];
 
-/// The name that a fault had in earlier versions.
+/// The former name of the fault that is now called `name`.
 pub fn former_name(name: &str) -> Option<String> {
     FORMER_NAMES.iter().find_map(|(current, former)| {
         let rest = name.strip_prefix(current)?;
--- a/crates/fault-soak/src/faults/plan.rs
+++ b/crates/fault-soak/src/faults/plan.rs
@@ -1,5 +1,6 @@
-//! The plan of a run: which faults strike, where and when. It follows from the seed alone, so each draw from the random
-//! generator, and the order of the draws, has to stay as it is for seeds to remain comparable between versions.
+//! The plan of a run: its faults, their targets and their times. It is a function of the seed, so the draws
+//! from the random generator and their order must not change: a seed has to give the same plan in every
+//! version.
 
 use super::Fault;
 use super::clients::ClientFault;
@@ -15,19 +16,19 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The time at the start of a run without faults, in which the fleet reaches its steady state.
-pub const FAULT_FREE_START: Duration = Duration::from_secs(2);
+/// The fault-free time at the start of a run, in which the fleet reaches its steady state.
+pub const WARM_UP_TIME: Duration = Duration::from_secs(2);
 const SECOND: Duration = Duration::from_secs(1);
-/// The number of faults that may overlap.
-const TRACKS: usize = 3;
-/// The largest share of the routers that one fault strikes.
+/// The maximum number of faults that overlap.
+const MAX_CONCURRENT_FAULTS: usize = 3;
+/// The upper bound on the share of routers that one fault affects.
 const MAX_ROUTER_SHARE: f64 = 0.7;
-/// The largest share of the workers that one fault strikes.
+/// The upper bound on the share of workers that one fault affects.
 const MAX_WORKER_SHARE: f64 = 0.4;
-/// The steps of the wall clock, in seconds.
-const WALL_CLOCK_STEPS: [i64; 4] = [-3_600, -5, 5, 3_600];
+/// The possible steps of the wall clock, in seconds.
+const WALL_CLOCK_STEPS_SECONDS: [i64; 4] = [-3_600, -5, 5, 3_600];
 
-/// A fault and its time, counted from the start of the load.
+/// A fault and its schedule, relative to the start of the load.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
     /// When the fault is injected.
@@ -41,8 +42,8 @@
 /// Draws the faults of a run. At nearly every moment up to `end`, two or three of them overlap.
 pub fn draw_plan(random: &mut StdRng, routers: usize, workers: usize, end: Duration) -> Vec<PlannedFault> {
     let mut plan = Vec::new();
-    for _ in 0..TRACKS {
-        let mut from = FAULT_FREE_START + draw_duration(random, Duration::ZERO..SECOND);
+    for _ in 0..MAX_CONCURRENT_FAULTS {
+        let mut from = WARM_UP_TIME + draw_duration(random, Duration::ZERO..SECOND);
         while from + SECOND < end {
             let until = (from + draw_duration(random, SECOND..4 * SECOND)).min(end);
             plan.push(PlannedFault { from, until, fault: draw_fault(random, routers, workers) });
@@ -53,7 +54,7 @@
     plan
 }
 
-/// Draws a fault for a fleet of so many routers and workers.
+/// Draws a fault and its targets in a fleet of the given size.
 fn draw_fault(random: &mut StdRng, router_count: usize, worker_count: usize) -> Fault {
     let routers = draw_subset(random, router_count, MAX_ROUTER_SHARE);
     let workers = draw_subset(random, worker_count, MAX_WORKER_SHARE);
@@ -85,7 +86,7 @@
             Fault::Link(LinkFault { workers, kind })
         }
         20 => {
-            let seconds = WALL_CLOCK_STEPS.choose(random).copied().unwrap_or(3_600);
+            let seconds = WALL_CLOCK_STEPS_SECONDS.choose(random).copied().unwrap_or(3_600);
             router_fault(routers, RouterFaultKind::StepWallClock { seconds })
         }
         21 | 22 => router_fault(routers, draw_system_call_failure(random)),
@@ -122,16 +123,17 @@
     }
 }
 
-/// Draws a time span in whole microseconds.
+/// Draws a duration in whole microseconds.
 fn draw_duration(random: &mut StdRng, range: Range<Duration>) -> Duration {
     Duration::from_micros(random.random_range(whole_micros(range.start)..whole_micros(range.end)))
 }
 
-/// Draws at least one of `count` indices and less than `max_share` of them, in ascending order.
+/// Draws a subset of the indices below `count`, in ascending order: at least one, and less than `max_share`
+/// of them.
 fn draw_subset(random: &mut StdRng, count: usize, max_share: f64) -> Vec<usize> {
     let share = random.random_range(0.1..max_share);
     let size = ((count as f64 * share) as usize).max(1);
-    let mut chosen = (0..count).choose_multiple(random, size);
-    chosen.sort_unstable();
-    chosen
+    let mut subset = (0..count).choose_multiple(random, size);
+    subset.sort_unstable();
+    subset
 }
--- a/crates/fault-soak/src/faults/routers.rs
+++ b/crates/fault-soak/src/faults/routers.rs
@@ -1,4 +1,4 @@
-//! Faults of router processes and of their environment.
+//! Faults of router processes and their environment.
 
 use crate::world::World;
 use fault_plan::SystemCallFault;
@@ -8,19 +8,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time within which a process that was killed has exited.
+/// The time within which a killed process exits.
 const KILL_TIMEOUT: Duration = Duration::from_secs(4);
-/// The most signals that come one after another before and after SIGTERM.
-const MAX_SIGNALS_IN_SERIES: usize = 2;
-/// The longest pause between two signals of a series.
+/// The maximum number of additional signals before SIGTERM, and also after it.
+const MAX_ADDITIONAL_SIGNALS: usize = 2;
+/// The maximum pause after each additional signal.
 const MAX_SIGNAL_PAUSE: Duration = Duration::from_millis(150);
-/// The time for which clients still open connections to a router that has to terminate, because the load balancer in
-/// front of it has not noticed yet.
+/// The time after SIGTERM during which clients still open connections to a router, because the load
+/// balancer in front of it has not detected the shutdown yet.
 const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(300);
 
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
 
-/// The sets of system call faults that strike together.
+/// The sets of system call faults that are injected together.
 pub(super) const SYSTEM_CALL_FAULT_SETS: [&[SystemCallFault]; 8] = [
     &[SystemCallFault::AcceptAborted],
     &[SystemCallFault::AcceptFileTableFull, SystemCallFault::SocketFileTableFull],
@@ -32,39 +32,39 @@
     &[SystemCallFault::LogFull],
 ];
 
-/// A fault of some routers.
+/// A fault of some router processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterFault {
-    /// The routers that it strikes.
+    /// The affected routers.
     pub routers: Vec<RouterIndex>,
-    /// What happens to them.
+    /// The kind of fault.
     pub kind: RouterFaultKind,
 }
 
-/// What happens to a router.
+/// The kinds of faults of a router process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterFaultKind {
-    /// The process terminates gracefully and is started again.
+    /// The process shuts down gracefully and is restarted.
     Restart,
-    /// The process is killed and started again.
+    /// The process is killed and restarted.
     Kill,
-    /// The process is suspended for a moment, several times.
+    /// The process is suspended briefly, several times.
     Suspend,
-    /// The process has to reload a configuration that ends in the middle.
+    /// The process reloads a truncated configuration.
     TruncateConfiguration,
     /// The wall clock of the process is stepped.
     StepWallClock {
-        /// The size of the step.
+        /// The size of the step in seconds.
         seconds: i64,
     },
     /// System calls of the process fail.
     FailSystemCalls {
-        /// The faults of the system calls.
+        /// The faults to inject.
         faults: Vec<SystemCallFault>,
         /// The probability that a call fails.
         probability: f64,
     },
-    /// Nobody reads the pipe into which the process writes its log.
+    /// The pipe to which the process writes its log is not read.
     StopReadingLog,
 }
 
@@ -90,8 +90,8 @@
         for router in self.routers.iter().copied() {
             match &self.kind {
                 RouterFaultKind::Restart => {
-                    tokio::spawn(restart(world.clone(), router));
-                    // Restarts are spread over half of the time, as in a rolling restart.
+                    tokio::spawn(restart_gracefully(world.clone(), router));
+                    // Restarts are spread over half of the duration, as in a rolling restart.
                     tokio::time::sleep(duration / (2 * self.routers.len() as u32)).await;
                 }
                 RouterFaultKind::Kill => _ = tokio::spawn(kill_and_restart(world.clone(), router)),
@@ -113,7 +113,7 @@
     pub(super) fn revert(&self, world: &Arc<World>) {
         for router in self.routers.iter().copied() {
             match &self.kind {
-                // The tasks that were started for these end by themselves.
+                // The tasks of these faults end on their own.
                 RouterFaultKind::Restart | RouterFaultKind::Kill | RouterFaultKind::Suspend => {}
                 RouterFaultKind::TruncateConfiguration => world.reload_configuration(router),
                 RouterFaultKind::StepWallClock { .. } => set_wall_clock_offset(world, router, 0),
@@ -136,16 +136,18 @@
     }
 }
 
-/// Terminates a router gracefully, as in a planned restart, and starts it again.
-async fn restart(world: Arc<World>, router: RouterIndex) {
+/// Shuts a router down gracefully, as in a planned restart, and starts it again.
+async fn restart_gracefully(world: Arc<World>, router: RouterIndex) {
     let Some(restart) = world.begin_restart(router) else { return };
     let process = &world.routers[router];
-    signal_in_series(&world, router, &[RouterSignal::Reload]).await;
+    send_additional_signals(&world, router, &[RouterSignal::Reload]).await;
     process.signal(RouterSignal::Terminate);
     let terminated = clock::now();
     tokio::spawn({
         let world = world.clone();
-        async move { signal_in_series(&world, router, &[RouterSignal::Reload, RouterSignal::Terminate]).await }
+        async move {
+            send_additional_signals(&world, router, &[RouterSignal::Reload, RouterSignal::Terminate]).await
+        }
     });
     tokio::time::sleep(LOAD_BALANCER_DELAY).await;
     world.load.set_open(router, false);
@@ -157,9 +159,9 @@
     restart.start_process().await;
 }
 
-/// Sends a process none, one or more of these signals with short pauses, as scripts of operators do.
-async fn signal_in_series(world: &World, router: RouterIndex, signals: &[RouterSignal]) {
-    let count = rand::rng().random_range(0..=MAX_SIGNALS_IN_SERIES);
+/// Sends up to [`MAX_ADDITIONAL_SIGNALS`] of the given signals with short pauses, as operators' scripts do.
+async fn send_additional_signals(world: &World, router: RouterIndex, signals: &[RouterSignal]) {
+    let count = rand::rng().random_range(0..=MAX_ADDITIONAL_SIGNALS);
     for _ in 0..count {
         let choice = rand::rng().random_range(0..signals.len());
         world.routers[router].signal(signals[choice]);
@@ -178,7 +180,7 @@
     restart.start_process().await;
 }
 
-/// Suspends a process for up to 0.15 s at a time, as a loaded machine may.
+/// Suspends a process repeatedly for up to 150 ms, as an overloaded machine may.
 async fn suspend_repeatedly(world: Arc<World>, router: RouterIndex, duration: Duration) {
     let until = tokio::time::Instant::now() + duration;
     while tokio::time::Instant::now() < until {
--- a/crates/fault-soak/src/faults/workers.rs
+++ b/crates/fault-soak/src/faults/workers.rs
@@ -1,4 +1,4 @@
-//! Faults of workers.
+//! Worker faults.
 
 use super::draw_discovery_delay;
 use crate::world::World;
@@ -9,39 +9,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time from the update that withdraws a worker until the worker itself rejects new calls.
+/// The time between the update that withdraws a worker and the worker's rejection of new calls.
 const DRAIN_DELAY: Duration = Duration::from_millis(500);
 
 /// A fault of some workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerFault {
-    /// The workers that it strikes.
+    /// The affected workers.
     pub workers: Vec<WorkerIndex>,
-    /// What happens to them.
+    /// The kind of fault.
     pub kind: WorkerFaultKind,
 }
 
-/// What happens to a worker.
+/// The kinds of faults of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerFaultKind {
-    /// The process crashes, and is started again cold.
+    /// The process crashes and is restarted cold.
     Crash,
-    /// The worker drains, and a cold one takes its place.
+    /// The worker drains, and a cold one replaces it.
     Replace,
-    /// The process hangs as a suspended one does.
+    /// The process hangs like a suspended one.
     Freeze,
-    /// The worker answers wrongly.
+    /// The worker responds incorrectly or slowly.
     Misbehave(WorkerMisbehaviour),
 }
 
-/// How a worker answers wrongly.
+/// The kinds of incorrect behaviour of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerMisbehaviour {
-    /// It responds 500.
+    /// It responds with status 500.
     Errors,
     /// It rejects calls although it has capacity.
     Rejections,
-    /// It closes connections before its response.
+    /// It closes connections before responding.
     ClosesBeforeResponse,
     /// It closes connections in the middle of its response.
     ClosesDuringResponse,
@@ -49,14 +49,14 @@
     Hangs,
     /// Its responses can't be parsed.
     MalformedResponses,
-    /// It sends a second response that nobody asked for.
+    /// It sends an unsolicited second response.
     UnsolicitedResponses,
     /// It is several times slower.
     Slow,
 }
 
 impl WorkerMisbehaviour {
-    /// All of them, in the order from which the plan of a seed is drawn.
+    /// All variants. The plan that is drawn from a seed depends on their order.
     pub(super) const ALL: [WorkerMisbehaviour; 8] = [
         WorkerMisbehaviour::Errors,
         WorkerMisbehaviour::Rejections,
@@ -81,7 +81,7 @@
         }
     }
 
-    fn probabilities(self) -> Misbehaviour {
+    fn parameters(self) -> Misbehaviour {
         let normal = Misbehaviour::default();
         match self {
             WorkerMisbehaviour::Errors => Misbehaviour { error: 0.5, ..normal },
@@ -116,12 +116,12 @@
                 WorkerFaultKind::Crash => crash(world, worker),
                 WorkerFaultKind::Replace => {
                     replace(world, worker, draw_discovery_delay());
-                    // Replacements are spread over half of the time, as in a rolling deployment.
+                    // Replacements are spread over half of the duration, as in a rolling deployment.
                     tokio::time::sleep(duration / (2 * self.workers.len() as u32)).await;
                 }
                 WorkerFaultKind::Freeze => world.fleet.worker(worker).set_frozen(true),
                 WorkerFaultKind::Misbehave(misbehaviour) => {
-                    world.fleet.worker(worker).set_misbehaviour(misbehaviour.probabilities());
+                    world.fleet.worker(worker).set_misbehaviour(misbehaviour.parameters());
                 }
             }
         }
@@ -134,7 +134,7 @@
                     set_reachability(world, worker, Reachability::Up);
                     world.fleet.restart_worker(worker, draw_discovery_delay());
                 }
-                // The new worker stays.
+                // The new worker stays in the fleet.
                 WorkerFaultKind::Replace => {}
                 WorkerFaultKind::Freeze => world.fleet.worker(worker).set_frozen(false),
                 WorkerFaultKind::Misbehave(_) => {
@@ -155,7 +155,7 @@
     world.fleet.set_health(worker, Health::Gone, draw_discovery_delay());
 }
 
-/// Withdraws a worker and adds a cold one in its place.
+/// Drains a worker and adds a cold one to replace it.
 fn replace(world: &Arc<World>, worker: WorkerIndex, discovery_delay: Duration) {
     if world.fleet.health(worker) != Health::Ready {
         return;
@@ -165,7 +165,7 @@
     let deployment = world.deployment;
     let added = world.fleet.add_worker(move |index| deployment.worker(index, role), true, discovery_delay);
     if let Err(error) = added {
-        eprintln!("a worker can't be added: {error}");
+        eprintln!("failed to add a replacement for worker {worker}: {error}");
     }
     let world = world.clone();
     tokio::spawn(async move {
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The share of clients that disconnect early unless a fault changes it.
-pub const USUAL_DISCONNECT_SHARE: f64 = 0.06;
+pub const DEFAULT_DISCONNECT_SHARE: f64 = 0.06;
 /// The largest number of requests that one client sends until one succeeds.
 const MAX_CLIENT_ATTEMPTS: u32 = 3;
 /// The pause before a client retries an idempotent request that failed.
@@ -61,7 +61,7 @@
     pub fn new(deployment: &Deployment, network: LoopbackNetwork, history: &History) -> Self {
         let clients = |router| Clients::new(router, network.router_address(router), history.clone());
         let profile =
-            LoadProfile { rate_multiplier: 1.0, disconnect_share: USUAL_DISCONNECT_SHARE, slow_share: 0.0 };
+            LoadProfile { rate_multiplier: 1.0, disconnect_share: DEFAULT_DISCONNECT_SHARE, slow_share: 0.0 };
         Load {
             rate: deployment.request_rate,
             max_deadline: deployment.scenario.max_deadline,
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::deployment::Deployment;
 use crate::error::SoakError;
-use crate::faults::keep_crowded;
+use crate::faults::flood_with_idle_connections;
 use crate::faults::plan::{PlannedFault, draw_plan};
 use crate::router::{Programs, Router};
 use crate::scenario::Scenario;
@@ -77,8 +77,8 @@
         [tokio::spawn(sample_resources(world.clone())), tokio::spawn(measure_delay(world.clone()))];
     for router in 0..options.router_count {
         tokio::spawn(world.load.clone().run(router));
-        if deployment.scenario.has_crowd {
-            tokio::spawn(keep_crowded(world.clone(), router));
+        if deployment.scenario.has_idle_connection_flood {
+            tokio::spawn(flood_with_idle_connections(world.clone(), router));
         }
     }
     let plan = plan_faults(options, &deployment, &mut random);
@@ -103,7 +103,7 @@
     let mut plan = draw_plan(random, options.router_count, workers, options.fault_period);
     plan.retain(|planned| {
         let is_selected =
-            options.only.is_empty() || options.only.iter().any(|text| planned.fault.is_named_like(text));
+            options.only.is_empty() || options.only.iter().any(|text| planned.fault.name_contains(text));
         is_selected && !options.is_fault_free
     });
     plan
--- a/crates/fault-soak/src/scenario.rs
+++ b/crates/fault-soak/src/scenario.rs
@@ -26,7 +26,7 @@
     /// The longest deadline of clients.
     pub max_deadline: Duration,
     /// Whether idle clients fill the descriptors of the routers all the time.
-    pub has_crowd: bool,
+    pub has_idle_connection_flood: bool,
 }
 
 impl Scenario {
@@ -37,7 +37,7 @@
         Scenario {
             names_per_worker: if has_large_fleet { NAMES_IN_LARGE_FLEET } else { 1 },
             max_deadline: if has_short_deadlines { SHORT_MAX_DEADLINE } else { USUAL_MAX_DEADLINE },
-            has_crowd: seed % CROWD_PERIOD == 2,
+            has_idle_connection_flood: seed % CROWD_PERIOD == 2,
         }
     }
 }
--- a/crates/fault-soak/tests/faults.rs
+++ b/crates/fault-soak/tests/faults.rs
@@ -41,8 +41,8 @@
 fn faults_are_selected_by_their_current_and_former_names() {
     for (fault, name, former_name) in faults_with_names() {
         assert_eq!(fault.name(), name);
-        assert!(fault.is_named_like(name));
-        assert!(fault.is_named_like(former_name), "{former_name}");
-        assert!(!fault.is_named_like("router-kill"));
+        assert!(fault.name_contains(name));
+        assert!(fault.name_contains(former_name), "{former_name}");
+        assert!(!fault.name_contains("router-kill"));
     }
 }
