--- a/crates/fault-soak/src/oracle/responses.rs
+++ b/crates/fault-soak/src/oracle/responses.rs
@@ -13,8 +13,9 @@
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// A request sent later than this after SIGTERM has to be answered before the process is killed.
 const LATE_REQUEST_THRESHOLD: Duration = Duration::from_millis(700);
-/// The time after SIGTERM during which the load balancer still sends new connections.
-const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(400);
+/// The time after SIGTERM during which a router has to accept connections, because the load balancer still
+/// sends new ones.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(400);
 /// An event that takes longer than this from its worker to the client counts as late.
 const MAX_EVENT_DELAY: Duration = Duration::from_millis(300);
 
@@ -83,8 +84,7 @@
     let Some(incarnation) = run.incarnation(request.router, sent.at) else { return true };
     let terminated = incarnation.terminated;
     if kind == ConnectionEnd::NotOpened {
-        let has_stopped_listening =
-            terminated.is_some_and(|terminated| at > terminated + LOAD_BALANCER_DELAY);
+        let has_stopped_listening = terminated.is_some_and(|terminated| at > terminated + MIN_ACCEPT_TIME);
         // The load balancer sends new connections only to a process that is ready.
         let is_not_ready = incarnation.ready.is_none_or(|ready| at <= ready);
         let was_killed = incarnation.killed.is_some_and(|killed| at + OBSERVATION_DELAY >= killed);
--- a/crates/fault-soak/src/router/log.rs
+++ b/crates/fault-soak/src/router/log.rs
@@ -1,4 +1,4 @@
-//! The log of a router, read from the standard error of its processes.
+//! The log of a router, read from the standard error output of its processes.
 
 use fleet_emulator::clock::{self, Timestamp};
 use fleet_emulator::history::History;
@@ -9,12 +9,12 @@
 use tokio::process::ChildStderr;
 use tokio::sync::watch;
 
-/// The largest number of lines that are stored for one router.
+/// The maximum number of lines that are stored for one router.
 const MAX_LINES: usize = 400_000;
-/// Texts by which the router reports that it caught a panic or violated one of its own invariants.
-const ERROR_TEXTS: [&str; 2] = ["violation:", "panicked"];
+/// Texts in log lines that report a panic, or an invariant violation that the router detected itself.
+const ERROR_PATTERNS: [&str; 2] = ["violation:", "panicked"];
 
-/// A line of a log.
+/// A log line.
 #[derive(Clone, Debug)]
 pub struct LogLine {
     /// When the line was read.
@@ -23,7 +23,7 @@
     pub text: String,
 }
 
-/// The log of one router, over all of its processes. All clones share the same lines.
+/// The log of one router across all of its processes. Clones share the same lines.
 #[derive(Clone, Debug, Default)]
 pub struct Log(Arc<Mutex<Vec<LogLine>>>);
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Reads the log of a process to its end, and pauses while `is_reading` is false.
+    /// Reads the log of a process until its end, and pauses while `is_reading` is false.
     pub(super) async fn read(
         self,
         router: RouterIndex,
@@ -50,7 +50,7 @@
     ) {
         let mut lines = BufReader::new(stderr).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            if ERROR_TEXTS.iter().any(|text| line.contains(text)) {
+            if ERROR_PATTERNS.iter().any(|pattern| line.contains(pattern)) {
                 history.add(Record::RouterErrorLogged { router, line: line.clone() });
             }
             self.add(line);
--- a/crates/fault-soak/src/router/mod.rs
+++ b/crates/fault-soak/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! Routers under test: their processes, signals, logs and resources.
+//! The routers under test: their processes, signals, logs and resource usage.
 
 mod log;
 mod process;
@@ -22,34 +22,34 @@
 use tokio::process::Command;
 use tokio::sync::watch;
 
-/// The interval at which a router that starts is polled for its readiness.
+/// The interval at which the readiness of a starting router is polled.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The time limit of one such poll.
+/// The timeout of one readiness poll.
 const READINESS_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The size of the pipe for a router's log: so small that an unread log fills it within a run.
+/// The capacity of the pipe for a router's log: small enough to fill up within a run if the log is not read.
 const LOG_PIPE_BYTES: usize = 4096;
 
 /// The programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The router.
+    /// The path of the router program.
     pub router: PathBuf,
-    /// The fault shim, which is preloaded into the router.
+    /// The path of the fault shim, a shared library that is preloaded into the router.
     pub shim: PathBuf,
 }
 
-/// One router of the fleet. Its process may be started and ended many times.
+/// One router of the fleet. Its process may be restarted many times.
 #[derive(Debug)]
 pub struct Router {
-    /// The position of the router in the fleet.
+    /// The index of the router in the fleet.
     pub index: RouterIndex,
     /// The address to which clients connect.
     pub address: SocketAddr,
-    /// The configuration file.
+    /// The path of the configuration file.
     pub configuration: PathBuf,
     /// The control block of the fault shim.
     pub control: Control,
-    /// The log of all processes.
+    /// The log of all processes of the router.
     pub log: Log,
     control_file: PathBuf,
     programs: Programs,
@@ -59,10 +59,10 @@
 }
 
 impl Router {
-    /// Creates a router whose files are in `folder`. No process runs yet.
+    /// Creates a router with its files in `folder`, without starting a process.
     ///
     /// # Errors
-    /// The control block can't be created.
+    /// Fails if the control block can't be created.
     pub fn new(
         index: RouterIndex,
         address: SocketAddr,
@@ -88,18 +88,18 @@
     /// Starts a process and waits until it is ready or has exited.
     ///
     /// # Errors
-    /// The program can't be started.
+    /// Fails if the program can't be started.
     pub async fn start(&self) -> io::Result<()> {
         let mut child = self.command().spawn()?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        let pid = pid.ok_or_else(|| io::Error::other("the process ended at once"))?;
+        let pid = pid.ok_or_else(|| io::Error::other("the router process exited immediately"))?;
         self.history.add(Record::RouterStarted { router: self.index });
         if let Some(stderr) = child.stderr.take() {
             rustix::pipe::fcntl_setpipe_size(&stderr, LOG_PIPE_BYTES)?;
             let is_reading = self.is_log_read.subscribe();
             tokio::spawn(self.log.clone().read(self.index, stderr, self.history.clone(), is_reading));
         }
-        let process = Process::watch(self.index, pid, child, self.history.clone());
+        let process = Process::monitor(self.index, pid, child, self.history.clone());
         let has_exited = process.has_exited();
         *lock(&self.process) = Some(process);
         self.wait_until_ready(has_exited).await;
@@ -135,7 +135,7 @@
         lock(&self.process).as_ref().filter(|process| process.is_running()).map(act)
     }
 
-    /// Whether a process runs.
+    /// Whether the router has a running process.
     pub fn is_running(&self) -> bool {
         self.with_process(|_| ()).is_some()
     }
@@ -148,18 +148,19 @@
         });
     }
 
-    /// Waits for the exit of the process, and returns whether none runs when the time is up.
+    /// Waits for the exit of the process, and returns whether it exited within the timeout or was not
+    /// running.
     pub async fn exits_within(&self, timeout: Duration) -> bool {
         let Some(mut has_exited) = self.with_process(Process::has_exited) else { return true };
         tokio::time::timeout(timeout, has_exited.wait_for(|has_exited| *has_exited)).await.is_ok()
     }
 
-    /// Sets whether the log is read. The pipe of a log that is not read fills up.
+    /// Sets whether the log is read. The pipe fills up while it is not.
     pub fn set_log_reading(&self, is_reading: bool) {
         self.is_log_read.send_replace(is_reading);
     }
 
-    /// Records the resources that the process uses, if one runs.
+    /// Records the resource usage of the process, if one runs.
     pub fn record_resources(&self) {
         self.with_process(|process| {
             let ResourceUsage { memory_kb, descriptors } = process.resource_usage();
--- a/crates/fault-soak/src/router/process.rs
+++ b/crates/fault-soak/src/router/process.rs
@@ -1,4 +1,4 @@
-//! One process of a router, from its start to its exit.
+//! The process of a router, from its start to its exit.
 
 use fleet_emulator::history::History;
 use fleet_emulator::record::{Record, RouterIndex, RouterSignal};
@@ -11,19 +11,19 @@
 use tokio::process::Child;
 use tokio::sync::watch;
 
-/// How a process was asked to end. The order matters: a later request replaces only a weaker one.
+/// The shutdown requested of a process. The variants are ordered: a request replaces only a weaker one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum ShutdownRequest {
-    /// It was not.
+    /// No shutdown was requested.
     #[default]
     None,
-    /// By SIGTERM.
+    /// A graceful shutdown, by SIGTERM.
     Graceful,
-    /// By SIGKILL.
+    /// An immediate exit, by SIGKILL.
     Kill,
 }
 
-/// A process, which may have exited.
+/// A router process, which may have exited.
 #[derive(Debug)]
 pub(super) struct Process {
     pid: Pid,
@@ -31,15 +31,15 @@
     has_exited: watch::Receiver<bool>,
 }
 
-/// The resources that a process uses.
+/// The resource usage of a process.
 pub(super) struct ResourceUsage {
     pub(super) memory_kb: u64,
     pub(super) descriptors: usize,
 }
 
 impl Process {
-    /// Watches over a process that has just been spawned, and records its exit.
-    pub(super) fn watch(router: RouterIndex, pid: Pid, child: Child, history: History) -> Self {
+    /// Monitors a spawned process and records its exit.
+    pub(super) fn monitor(router: RouterIndex, pid: Pid, child: Child, history: History) -> Self {
         let shutdown = Arc::new(Mutex::new(ShutdownRequest::None));
         let (exit, has_exited) = watch::channel(false);
         tokio::spawn(record_exit(router, child, shutdown.clone(), exit, history));
@@ -50,12 +50,12 @@
         !*self.has_exited.borrow()
     }
 
-    /// A channel that turns true when the process exits.
+    /// A channel whose value becomes true when the process exits.
     pub(super) fn has_exited(&self) -> watch::Receiver<bool> {
         self.has_exited.clone()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process and notes the shutdown that it requests.
     pub(super) fn signal(&self, signal: RouterSignal) {
         let (number, request) = match signal {
             RouterSignal::Terminate => (Signal::TERM, ShutdownRequest::Graceful),
@@ -70,13 +70,14 @@
         let _ = kill_process(self.pid, number);
     }
 
-    /// Samples the resources of the process from `/proc`.
+    /// Reads the resource usage of the process from `/proc`.
     pub(super) fn resource_usage(&self) -> ResourceUsage {
         let folder = PathBuf::from(format!("/proc/{}", self.pid.as_raw_nonzero()));
         let descriptors = std::fs::read_dir(folder.join("fd")).map_or(0, Iterator::count);
         let status = std::fs::read_to_string(folder.join("status")).unwrap_or_default();
-        let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let memory_kb = resident.and_then(|text| text.trim().split(' ').next()?.parse().ok()).unwrap_or(0);
+        let resident_set_size = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+        let memory_kb =
+            resident_set_size.and_then(|text| text.trim().split(' ').next()?.parse().ok()).unwrap_or(0);
         ResourceUsage { memory_kb, descriptors }
     }
 }
