--- a/crates/fault-soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -10,40 +10,40 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The number of zones, over which routers and cells are spread.
-const ZONES: u64 = 2;
-/// The number of cells, over which workers are spread.
-const CELLS: u64 = 4;
+/// The number of zones over which routers and cells are distributed.
+const ZONE_COUNT: u64 = 2;
+/// The number of cells over which workers are distributed.
+const CELL_COUNT: u64 = 4;
 
-/// The time within which the first token of a request should arrive.
+/// The latency objective for the first token of a request.
 const FIRST_TOKEN_OBJECTIVE: Duration = Duration::from_secs(1);
-/// The time after which a client gives up on a request.
+/// The time after which clients abandon a request.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A longer deadline of clients counts as this for the time that a router has to shut down.
-const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// What a router has beyond the longest deadline to shut down.
+/// The upper bound on the client deadline that the shutdown timeout covers.
+const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
+/// The time that the shutdown timeout adds to that deadline.
 const SHUTDOWN_ALLOWANCE: Duration = Duration::from_millis(700);
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Copy, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// The name of the class.
     pub name: &'static str,
     /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// The classes of every deployment.
-pub const CLASSES: [Class; 5] = [
-    Class { name: "safe", idempotency: Idempotency::Idempotent },
-    Class { name: "keyed-all", idempotency: Idempotency::Keyed(DeduplicationScope::All) },
-    Class { name: "keyed-zone", idempotency: Idempotency::Keyed(DeduplicationScope::Zone) },
-    Class { name: "keyed-cell", idempotency: Idempotency::Keyed(DeduplicationScope::Cell) },
-    Class { name: "once", idempotency: Idempotency::NonIdempotent },
+/// The request classes of every deployment.
+pub const CLASSES: [RequestClass; 5] = [
+    RequestClass { name: "safe", idempotency: Idempotency::Idempotent },
+    RequestClass { name: "keyed-all", idempotency: Idempotency::Keyed(DeduplicationScope::All) },
+    RequestClass { name: "keyed-zone", idempotency: Idempotency::Keyed(DeduplicationScope::Zone) },
+    RequestClass { name: "keyed-cell", idempotency: Idempotency::Keyed(DeduplicationScope::Cell) },
+    RequestClass { name: "once", idempotency: Idempotency::NonIdempotent },
 ];
 
-/// The size of the fleet and the settings that all of its routers have.
+/// The size of the fleet and the settings that its routers share.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// The number of routers.
@@ -52,41 +52,41 @@
     pub prefill_workers: usize,
     /// The number of decode workers at the start.
     pub decode_workers: usize,
-    /// Requests per second at each router.
+    /// The request rate at each router, in requests per second.
     pub request_rate: f64,
-    /// A connection attempt fails after this time.
+    /// The connect timeout of routers.
     pub connect_timeout: Duration,
-    /// A reserved KV cache that no attempt waits for has to be released within this time.
+    /// The time within which a reserved KV cache has to be released if no attempt waits for it.
     pub release_timeout: Duration,
-    /// A draining worker may get no new calls later than this after its withdrawal became known.
+    /// The time during which a draining worker may still get new calls after its withdrawal became known.
     pub drain_grace: Duration,
-    /// The time for which workers recognize the repetition of a request by its idempotency key.
+    /// The time during which workers deduplicate requests by their idempotency keys.
     pub deduplication_window: Duration,
-    /// The time from the start of a worker until it has its full capacity.
+    /// The time from the start of a worker until it reaches its full capacity.
     pub slow_start_duration: Duration,
-    /// The fraction of its capacity that a worker has at its start.
+    /// The initial capacity of a cold worker, as a fraction of its full capacity.
     pub slow_start_floor: f64,
-    /// A cold worker collapses when it gets this multiple of what it can serve.
+    /// The multiple of its capacity at which a cold worker is overloaded.
     pub overload_multiple: f64,
-    /// The time over which that multiple counts.
+    /// The period over which that load is measured.
     pub overload_window: Duration,
     /// Whether routers may cancel attempts.
     pub cancellation_allowed: bool,
-    /// The file descriptors that a router may use.
+    /// The maximum number of file descriptors of a router.
     pub max_descriptors: usize,
-    /// The memory that a router may use, in megabytes.
+    /// The maximum memory usage of a router, in megabytes.
     pub max_memory_mb: usize,
-    /// What sets the run apart.
+    /// The variation of the run.
     pub scenario: Scenario,
 }
 
 impl Deployment {
-    /// The largest number of attempts for one request.
+    /// The maximum number of attempts per request.
     pub const MAX_ATTEMPTS: usize = 6;
-    /// A response still counts as in time this long after the deadline.
+    /// The time after the deadline during which a response is still in time.
     pub const RESPONSE_SLACK: Duration = Duration::from_millis(16);
 
-    /// Draws a deployment with a number of routers.
+    /// Draws a deployment with the given number of routers.
     pub fn draw(random: &mut StdRng, routers: usize, scenario: Scenario) -> Self {
         Deployment {
             routers,
@@ -108,18 +108,18 @@
         }
     }
 
-    /// The time from SIGTERM after which a router is killed at the earliest.
+    /// The minimum time between SIGTERM and SIGKILL.
     pub fn shutdown_timeout(&self) -> Duration {
-        self.scenario.max_deadline.min(MAX_COUNTED_DEADLINE) + SHUTDOWN_ALLOWANCE
+        self.scenario.max_deadline.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_ALLOWANCE
     }
 
     /// The settings of a worker.
-    pub fn worker(&self, index: WorkerIndex, role: Role) -> WorkerSettings {
-        let cell = index as u64 % CELLS;
+    pub fn worker_settings(&self, index: WorkerIndex, role: Role) -> WorkerSettings {
+        let cell = index as u64 % CELL_COUNT;
         WorkerSettings {
             index,
             role,
-            zone: cell % ZONES,
+            zone: cell % ZONE_COUNT,
             cell,
             slots: if role == Role::Prefill { 8 } else { 32 },
             queue_capacity: 40,
@@ -129,8 +129,9 @@
         }
     }
 
-    /// The configuration of a router that knows these endpoints from its last run.
-    pub fn configuration(
+    /// The configuration of a router. `endpoints` is the endpoint list that it knows from its previous
+    /// process.
+    pub fn router_configuration(
         &self,
         router: RouterIndex,
         addresses: &RouterAddresses,
@@ -144,16 +145,16 @@
             "seed": format!("{seed:x}"),
             "limits": { "cores": 1.0, "memory_mb": self.max_memory_mb, "sockets": self.max_descriptors },
             "known": endpoints,
-            "settings": self.settings(router),
+            "settings": self.router_settings(router),
         })
     }
 
-    fn settings(&self, router: RouterIndex) -> Value {
-        let classes: Vec<Value> = CLASSES.iter().map(|class| self.class(class)).collect();
+    fn router_settings(&self, router: RouterIndex) -> Value {
+        let classes: Vec<Value> = CLASSES.iter().map(|class| self.class_settings(class)).collect();
         json!({
             "self_index": router,
             "replicas_of_me": self.routers,
-            "my_zone": format!("zone-{}", router as u64 % ZONES),
+            "my_zone": format!("zone-{}", router as u64 % ZONE_COUNT),
             "registry_mode": "pushed",
             "skus": ["prefill", "decode"],
             "classes": classes,
@@ -183,7 +184,7 @@
         })
     }
 
-    fn class(&self, class: &Class) -> Value {
+    fn class_settings(&self, class: &RequestClass) -> Value {
         let (effect, scope) = match class.idempotency {
             Idempotency::Idempotent => ("read_like", None),
             Idempotency::NonIdempotent => ("non_idempotent", None),
--- a/crates/fault-soak/src/error.rs
+++ b/crates/fault-soak/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a run could not be carried out.
+//! The errors of the test harness.
 
 use fleet_emulator::record::RouterIndex;
 use std::error::Error;
@@ -17,22 +17,26 @@
     WriteConfiguration(RouterIndex, io::Error),
     /// The process of a router could not be started.
     StartRouter(RouterIndex, io::Error),
-    /// A file or folder of the run could not be accessed.
-    Files(PathBuf, io::Error),
+    /// A file or directory could not be accessed.
+    FileAccess(PathBuf, io::Error),
 }
 
 impl fmt::Display for SoakError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SoakError::StartFleet(error) => write!(formatter, "starting the emulated fleet: {error}"),
+            SoakError::StartFleet(error) => write!(formatter, "failed to start the emulated fleet: {error}"),
             SoakError::CreateControlBlock(router, error) => {
-                write!(formatter, "creating the fault control block of router {router}: {error}")
+                write!(formatter, "failed to create the fault control block of router {router}: {error}")
             }
             SoakError::WriteConfiguration(router, error) => {
-                write!(formatter, "writing the configuration of router {router}: {error}")
+                write!(formatter, "failed to write the configuration of router {router}: {error}")
+            }
+            SoakError::StartRouter(router, error) => {
+                write!(formatter, "failed to start router {router}: {error}")
+            }
+            SoakError::FileAccess(path, error) => {
+                write!(formatter, "failed to access {}: {error}", path.display())
             }
-            SoakError::StartRouter(router, error) => write!(formatter, "starting router {router}: {error}"),
-            SoakError::Files(path, error) => write!(formatter, "accessing {}: {error}", path.display()),
         }
     }
 }
@@ -44,7 +48,7 @@
             | SoakError::CreateControlBlock(_, error)
             | SoakError::WriteConfiguration(_, error)
             | SoakError::StartRouter(_, error)
-            | SoakError::Files(_, error) => Some(error),
+            | SoakError::FileAccess(_, error) => Some(error),
         }
     }
 }
--- a/crates/fault-soak/src/faults/clients.rs
+++ b/crates/fault-soak/src/faults/clients.rs
@@ -1,7 +1,7 @@
 //! Client faults: malformed requests, idle connections and unusual load.
 
 use crate::load::{DEFAULT_DISCONNECT_SHARE, LoadProfile};
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::misbehaving_client::{ClientMisbehaviour, send_misbehaving};
 use fleet_emulator::record::RouterIndex;
 use rand::Rng;
@@ -50,28 +50,28 @@
         }
     }
 
-    pub(super) fn inject(&self, world: &Arc<World>, duration: Duration) {
+    pub(super) fn inject(&self, testbed: &Arc<Testbed>, duration: Duration) {
         match self {
             ClientFault::Misbehaving { routers } => {
                 for router in routers.iter().copied() {
-                    tokio::spawn(run_misbehaving_clients(world.clone(), router, duration));
+                    tokio::spawn(run_misbehaving_clients(testbed.clone(), router, duration));
                 }
             }
             ClientFault::IdleConnections { routers } => {
                 for router in routers.iter().copied() {
                     (0..IDLE_CONNECTIONS)
-                        .for_each(|_| spawn_misbehaving_client(world, router, ClientMisbehaviour::Silent));
+                        .for_each(|_| spawn_misbehaving_client(testbed, router, ClientMisbehaviour::Silent));
                 }
             }
-            ClientFault::Impatient => world.load.update(|profile| profile.disconnect_share = 0.5),
-            ClientFault::SlowWriting => world.load.update(|profile| profile.slow_share = 0.5),
+            ClientFault::Impatient => testbed.load.update(|profile| profile.disconnect_share = 0.5),
+            ClientFault::SlowWriting => testbed.load.update(|profile| profile.slow_share = 0.5),
             ClientFault::Burst { rate_multiplier } => {
-                world.load.update(|profile| profile.rate_multiplier = *rate_multiplier);
+                testbed.load.update(|profile| profile.rate_multiplier = *rate_multiplier);
             }
         }
     }
 
-    pub(super) fn revert(&self, world: &World) {
+    pub(super) fn revert(&self, testbed: &Testbed) {
         let restore: fn(&mut LoadProfile) = match self {
             // Misbehaving clients end on their own, and routers close idle connections.
             ClientFault::Misbehaving { .. } | ClientFault::IdleConnections { .. } => return,
@@ -79,30 +79,30 @@
             ClientFault::SlowWriting => |profile| profile.slow_share = 0.0,
             ClientFault::Burst { .. } => |profile| profile.rate_multiplier = 1.0,
         };
-        world.load.update(restore);
+        testbed.load.update(restore);
     }
 }
 
-fn spawn_misbehaving_client(world: &World, router: RouterIndex, misbehaviour: ClientMisbehaviour) {
-    let address = world.routers[router].address;
-    tokio::spawn(send_misbehaving(router, address, misbehaviour, world.history().clone()));
+fn spawn_misbehaving_client(testbed: &Testbed, router: RouterIndex, misbehaviour: ClientMisbehaviour) {
+    let address = testbed.routers[router].address;
+    tokio::spawn(send_misbehaving(router, address, misbehaviour, testbed.history().clone()));
 }
 
-async fn run_misbehaving_clients(world: Arc<World>, router: RouterIndex, duration: Duration) {
+async fn run_misbehaving_clients(testbed: Arc<Testbed>, router: RouterIndex, duration: Duration) {
     let until = tokio::time::Instant::now() + duration;
     while tokio::time::Instant::now() < until {
         let choice = rand::rng().random_range(0..ClientMisbehaviour::ALL.len());
-        spawn_misbehaving_client(&world, router, ClientMisbehaviour::ALL[choice]);
+        spawn_misbehaving_client(&testbed, router, ClientMisbehaviour::ALL[choice]);
         let pause = rand::rng().random_range(10..150);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
 /// Opens idle connections to a router until the load is finished, so that they occupy its file descriptors.
-pub async fn flood_with_idle_connections(world: Arc<World>, router: RouterIndex) {
-    while !world.load.is_finished() {
+pub async fn flood_with_idle_connections(testbed: Arc<Testbed>, router: RouterIndex) {
+    while !testbed.load.is_finished() {
         (0..FLOOD_CONNECTIONS)
-            .for_each(|_| spawn_misbehaving_client(&world, router, ClientMisbehaviour::Silent));
+            .for_each(|_| spawn_misbehaving_client(&testbed, router, ClientMisbehaviour::Silent));
         tokio::time::sleep(FLOOD_INTERVAL).await;
     }
 }
--- a/crates/fault-soak/src/faults/discovery.rs
+++ b/crates/fault-soak/src/faults/discovery.rs
@@ -1,6 +1,6 @@
 //! Faults of service discovery.
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::record::RouterIndex;
 use rand::Rng;
 use std::time::Duration;
@@ -42,13 +42,13 @@
 }
 
 impl DiscoveryFault {
-    pub(super) async fn inject(&self, world: &World) {
+    pub(super) async fn inject(&self, testbed: &Testbed) {
         // All agents get the same delay.
         let delay = Duration::from_millis(rand::rng().random_range(100..900));
         for router in self.routers.iter().copied() {
-            let agent = world.fleet.agent(router);
+            let agent = testbed.fleet.agent(router);
             match self.kind {
-                DiscoveryFaultKind::Move => world.move_discovery(router).await,
+                DiscoveryFaultKind::Move => testbed.move_discovery_agent(router).await,
                 DiscoveryFaultKind::Outage => agent.set_unavailable(true),
                 DiscoveryFaultKind::StallWatches => agent.stall_watches(),
                 DiscoveryFaultKind::ResetWatches => agent.reset_watches(),
@@ -57,9 +57,9 @@
         }
     }
 
-    pub(super) fn revert(&self, world: &World) {
+    pub(super) fn revert(&self, testbed: &Testbed) {
         for router in self.routers.iter().copied() {
-            let agent = world.fleet.agent(router);
+            let agent = testbed.fleet.agent(router);
             match self.kind {
                 DiscoveryFaultKind::Outage => agent.set_unavailable(false),
                 DiscoveryFaultKind::Delay => agent.set_response_delay(Duration::ZERO),
--- a/crates/fault-soak/src/faults/links.rs
+++ b/crates/fault-soak/src/faults/links.rs
@@ -1,6 +1,6 @@
 //! Faults of the network between routers and workers.
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::link::{LinkState, Reachability};
 use fleet_emulator::record::{RouterIndex, WorkerIndex};
 use std::time::Duration;
@@ -82,22 +82,22 @@
 }
 
 impl LinkFault {
-    pub(super) fn inject(&self, world: &World) {
+    pub(super) fn inject(&self, testbed: &Testbed) {
         for worker in self.workers.iter().copied() {
             match &self.kind {
                 LinkFaultKind::Partition { routers } => {
                     let is_partitioned = |router| routers.contains(&router);
                     let partition = |link: &mut LinkState| link.reachability = Reachability::Unresponsive;
-                    world.fleet.update_links(worker, is_partitioned, partition);
+                    testbed.fleet.update_links(worker, is_partitioned, partition);
                 }
                 LinkFaultKind::Degrade(degradation) => {
-                    world.fleet.update_links(worker, |_| true, |link| degradation.apply(link));
+                    testbed.fleet.update_links(worker, |_| true, |link| degradation.apply(link));
                 }
             }
         }
     }
 
-    pub(super) fn revert(&self, world: &World) {
+    pub(super) fn revert(&self, testbed: &Testbed) {
         let repair: fn(&mut LinkState) = match self.kind {
             LinkFaultKind::Partition { .. } => |link| link.reachability = Reachability::Up,
             LinkFaultKind::Degrade(_) => |link| {
@@ -105,7 +105,7 @@
             },
         };
         for worker in self.workers.iter().copied() {
-            world.fleet.update_links(worker, |_| true, repair);
+            testbed.fleet.update_links(worker, |_| true, repair);
         }
     }
 }
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -14,7 +14,7 @@
 pub use routers::{RouterFault, RouterFaultKind};
 pub use workers::{WorkerFault, WorkerFaultKind, WorkerMisbehaviour};
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::record::Record;
 use rand::Rng;
 use std::sync::Arc;
@@ -58,31 +58,31 @@
 
     /// Injects the fault, reverts it after `duration` and records both. The duration counts from the end of
     /// the injection, which takes time itself if it affects one router or worker after another.
-    pub async fn run(&self, world: &Arc<World>, duration: Duration) {
-        world.history().add(Record::FaultStarted { name: self.name() });
-        self.inject(world, duration).await;
+    pub async fn run(&self, testbed: &Arc<Testbed>, duration: Duration) {
+        testbed.history().add(Record::FaultStarted { name: self.name() });
+        self.inject(testbed, duration).await;
         tokio::time::sleep(duration).await;
-        self.revert(world);
-        world.history().add(Record::FaultEnded { name: self.name() });
+        self.revert(testbed);
+        testbed.history().add(Record::FaultEnded { name: self.name() });
     }
 
-    async fn inject(&self, world: &Arc<World>, duration: Duration) {
+    async fn inject(&self, testbed: &Arc<Testbed>, duration: Duration) {
         match self {
-            Fault::Router(fault) => fault.inject(world, duration).await,
-            Fault::Discovery(fault) => fault.inject(world).await,
-            Fault::Worker(fault) => fault.inject(world, duration).await,
-            Fault::Link(fault) => fault.inject(world),
-            Fault::Client(fault) => fault.inject(world, duration),
+            Fault::Router(fault) => fault.inject(testbed, duration).await,
+            Fault::Discovery(fault) => fault.inject(testbed).await,
+            Fault::Worker(fault) => fault.inject(testbed, duration).await,
+            Fault::Link(fault) => fault.inject(testbed),
+            Fault::Client(fault) => fault.inject(testbed, duration),
         }
     }
 
-    fn revert(&self, world: &Arc<World>) {
+    fn revert(&self, testbed: &Arc<Testbed>) {
         match self {
-            Fault::Router(fault) => fault.revert(world),
-            Fault::Discovery(fault) => fault.revert(world),
-            Fault::Worker(fault) => fault.revert(world),
-            Fault::Link(fault) => fault.revert(world),
-            Fault::Client(fault) => fault.revert(world),
+            Fault::Router(fault) => fault.revert(testbed),
+            Fault::Discovery(fault) => fault.revert(testbed),
+            Fault::Worker(fault) => fault.revert(testbed),
+            Fault::Link(fault) => fault.revert(testbed),
+            Fault::Client(fault) => fault.revert(testbed),
         }
     }
 }
--- a/crates/fault-soak/src/faults/routers.rs
+++ b/crates/fault-soak/src/faults/routers.rs
@@ -1,6 +1,6 @@
 //! Faults of router processes and their environment.
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use fault_plan::SystemCallFault;
 use fleet_emulator::clock;
 use fleet_emulator::record::{RouterIndex, RouterSignal};
@@ -86,72 +86,77 @@
 }
 
 impl RouterFault {
-    pub(super) async fn inject(&self, world: &Arc<World>, duration: Duration) {
+    pub(super) async fn inject(&self, testbed: &Arc<Testbed>, duration: Duration) {
         for router in self.routers.iter().copied() {
             match &self.kind {
                 RouterFaultKind::Restart => {
-                    tokio::spawn(restart_gracefully(world.clone(), router));
+                    tokio::spawn(restart_gracefully(testbed.clone(), router));
                     // Restarts are spread over half of the duration, as in a rolling restart.
                     tokio::time::sleep(duration / (2 * self.routers.len() as u32)).await;
                 }
-                RouterFaultKind::Kill => _ = tokio::spawn(kill_and_restart(world.clone(), router)),
+                RouterFaultKind::Kill => _ = tokio::spawn(kill_and_restart(testbed.clone(), router)),
                 RouterFaultKind::Suspend => {
-                    tokio::spawn(suspend_repeatedly(world.clone(), router, duration));
+                    tokio::spawn(suspend_repeatedly(testbed.clone(), router, duration));
                 }
-                RouterFaultKind::TruncateConfiguration => world.truncate_configuration(router),
+                RouterFaultKind::TruncateConfiguration => testbed.truncate_configuration(router),
                 RouterFaultKind::StepWallClock { seconds } => {
-                    set_wall_clock_offset(world, router, seconds * MICROSECONDS_PER_SECOND);
+                    set_wall_clock_offset(testbed, router, seconds * MICROSECONDS_PER_SECOND);
                 }
                 RouterFaultKind::FailSystemCalls { faults, probability } => {
-                    set_system_call_faults(world, router, faults, *probability);
+                    set_system_call_faults(testbed, router, faults, *probability);
                 }
-                RouterFaultKind::StopReadingLog => world.routers[router].set_log_reading(false),
+                RouterFaultKind::StopReadingLog => testbed.routers[router].set_log_reading(false),
             }
         }
     }
 
-    pub(super) fn revert(&self, world: &Arc<World>) {
+    pub(super) fn revert(&self, testbed: &Arc<Testbed>) {
         for router in self.routers.iter().copied() {
             match &self.kind {
                 // The tasks of these faults end on their own.
                 RouterFaultKind::Restart | RouterFaultKind::Kill | RouterFaultKind::Suspend => {}
-                RouterFaultKind::TruncateConfiguration => world.reload_configuration(router),
-                RouterFaultKind::StepWallClock { .. } => set_wall_clock_offset(world, router, 0),
+                RouterFaultKind::TruncateConfiguration => testbed.reload_configuration(router),
+                RouterFaultKind::StepWallClock { .. } => set_wall_clock_offset(testbed, router, 0),
                 RouterFaultKind::FailSystemCalls { faults, .. } => {
-                    set_system_call_faults(world, router, faults, 0.0);
+                    set_system_call_faults(testbed, router, faults, 0.0);
                 }
-                RouterFaultKind::StopReadingLog => world.routers[router].set_log_reading(true),
+                RouterFaultKind::StopReadingLog => testbed.routers[router].set_log_reading(true),
             }
         }
     }
 }
 
-fn set_wall_clock_offset(world: &World, router: RouterIndex, microseconds: i64) {
-    let _ = world.routers[router].control.set_wall_clock_offset(microseconds);
+fn set_wall_clock_offset(testbed: &Testbed, router: RouterIndex, microseconds: i64) {
+    let _ = testbed.routers[router].control.set_wall_clock_offset(microseconds);
 }
 
-fn set_system_call_faults(world: &World, router: RouterIndex, faults: &[SystemCallFault], probability: f64) {
+fn set_system_call_faults(
+    testbed: &Testbed,
+    router: RouterIndex,
+    faults: &[SystemCallFault],
+    probability: f64,
+) {
     for fault in faults {
-        let _ = world.routers[router].control.set_probability(*fault, probability);
+        let _ = testbed.routers[router].control.set_probability(*fault, probability);
     }
 }
 
 /// Shuts a router down gracefully, as in a planned restart, and starts it again.
-async fn restart_gracefully(world: Arc<World>, router: RouterIndex) {
-    let Some(restart) = world.begin_restart(router) else { return };
-    let process = &world.routers[router];
-    send_additional_signals(&world, router, &[RouterSignal::Reload]).await;
+async fn restart_gracefully(testbed: Arc<Testbed>, router: RouterIndex) {
+    let Some(restart) = testbed.try_begin_restart(router) else { return };
+    let process = &testbed.routers[router];
+    send_additional_signals(&testbed, router, &[RouterSignal::Reload]).await;
     process.signal(RouterSignal::Terminate);
     let terminated = clock::now();
     tokio::spawn({
-        let world = world.clone();
+        let testbed = testbed.clone();
         async move {
-            send_additional_signals(&world, router, &[RouterSignal::Reload, RouterSignal::Terminate]).await
+            send_additional_signals(&testbed, router, &[RouterSignal::Reload, RouterSignal::Terminate]).await
         }
     });
     tokio::time::sleep(LOAD_BALANCER_DELAY).await;
-    world.load.set_open(router, false);
-    let kill_at = terminated + world.deployment.shutdown_timeout();
+    testbed.load.set_in_rotation(router, false);
+    let kill_at = terminated + testbed.deployment.shutdown_timeout();
     if !process.exits_within(kill_at.since(clock::now())).await {
         process.signal(RouterSignal::Kill);
         let _ = process.exits_within(KILL_TIMEOUT).await;
@@ -160,34 +165,34 @@
 }
 
 /// Sends up to [`MAX_ADDITIONAL_SIGNALS`] of the given signals with short pauses, as operators' scripts do.
-async fn send_additional_signals(world: &World, router: RouterIndex, signals: &[RouterSignal]) {
+async fn send_additional_signals(testbed: &Testbed, router: RouterIndex, signals: &[RouterSignal]) {
     let count = rand::rng().random_range(0..=MAX_ADDITIONAL_SIGNALS);
     for _ in 0..count {
         let choice = rand::rng().random_range(0..signals.len());
-        world.routers[router].signal(signals[choice]);
+        testbed.routers[router].signal(signals[choice]);
         let pause = rand::rng().random_range(Duration::ZERO..MAX_SIGNAL_PAUSE);
         tokio::time::sleep(pause).await;
     }
 }
 
-async fn kill_and_restart(world: Arc<World>, router: RouterIndex) {
-    let Some(restart) = world.begin_restart(router) else { return };
-    world.load.set_open(router, false);
-    world.routers[router].signal(RouterSignal::Kill);
-    let _ = world.routers[router].exits_within(KILL_TIMEOUT).await;
+async fn kill_and_restart(testbed: Arc<Testbed>, router: RouterIndex) {
+    let Some(restart) = testbed.try_begin_restart(router) else { return };
+    testbed.load.set_in_rotation(router, false);
+    testbed.routers[router].signal(RouterSignal::Kill);
+    let _ = testbed.routers[router].exits_within(KILL_TIMEOUT).await;
     let pause = rand::rng().random_range(100..1_500);
     tokio::time::sleep(Duration::from_millis(pause)).await;
     restart.start_process().await;
 }
 
 /// Suspends a process repeatedly for up to 150 ms, as an overloaded machine may.
-async fn suspend_repeatedly(world: Arc<World>, router: RouterIndex, duration: Duration) {
+async fn suspend_repeatedly(testbed: Arc<Testbed>, router: RouterIndex, duration: Duration) {
     let until = tokio::time::Instant::now() + duration;
     while tokio::time::Instant::now() < until {
         let suspended = rand::rng().random_range(20..150);
-        world.routers[router].signal(RouterSignal::Suspend);
+        testbed.routers[router].signal(RouterSignal::Suspend);
         tokio::time::sleep(Duration::from_millis(suspended)).await;
-        world.routers[router].signal(RouterSignal::Resume);
+        testbed.routers[router].signal(RouterSignal::Resume);
         let pause = rand::rng().random_range(50..500);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
--- a/crates/fault-soak/src/faults/workers.rs
+++ b/crates/fault-soak/src/faults/workers.rs
@@ -1,7 +1,7 @@
 //! Worker faults.
 
 use super::draw_discovery_delay;
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::agent::Health;
 use fleet_emulator::link::Reachability;
 use fleet_emulator::record::WorkerIndex;
@@ -110,66 +110,67 @@
 }
 
 impl WorkerFault {
-    pub(super) async fn inject(&self, world: &Arc<World>, duration: Duration) {
+    pub(super) async fn inject(&self, testbed: &Arc<Testbed>, duration: Duration) {
         for worker in self.workers.iter().copied() {
             match self.kind {
-                WorkerFaultKind::Crash => crash(world, worker),
+                WorkerFaultKind::Crash => crash(testbed, worker),
                 WorkerFaultKind::Replace => {
-                    replace(world, worker, draw_discovery_delay());
+                    replace(testbed, worker, draw_discovery_delay());
                     // Replacements are spread over half of the duration, as in a rolling deployment.
                     tokio::time::sleep(duration / (2 * self.workers.len() as u32)).await;
                 }
-                WorkerFaultKind::Freeze => world.fleet.worker(worker).set_frozen(true),
+                WorkerFaultKind::Freeze => testbed.fleet.worker(worker).set_frozen(true),
                 WorkerFaultKind::Misbehave(misbehaviour) => {
-                    world.fleet.worker(worker).set_misbehaviour(misbehaviour.parameters());
+                    testbed.fleet.worker(worker).set_misbehaviour(misbehaviour.parameters());
                 }
             }
         }
     }
 
-    pub(super) fn revert(&self, world: &World) {
+    pub(super) fn revert(&self, testbed: &Testbed) {
         for worker in self.workers.iter().copied() {
             match self.kind {
                 WorkerFaultKind::Crash => {
-                    set_reachability(world, worker, Reachability::Up);
-                    world.fleet.restart_worker(worker, draw_discovery_delay());
+                    set_reachability(testbed, worker, Reachability::Up);
+                    testbed.fleet.restart_worker(worker, draw_discovery_delay());
                 }
                 // The new worker stays in the fleet.
                 WorkerFaultKind::Replace => {}
-                WorkerFaultKind::Freeze => world.fleet.worker(worker).set_frozen(false),
+                WorkerFaultKind::Freeze => testbed.fleet.worker(worker).set_frozen(false),
                 WorkerFaultKind::Misbehave(_) => {
-                    world.fleet.worker(worker).set_misbehaviour(Misbehaviour::default());
+                    testbed.fleet.worker(worker).set_misbehaviour(Misbehaviour::default());
                 }
             }
         }
     }
 }
 
-fn set_reachability(world: &World, worker: WorkerIndex, reachability: Reachability) {
-    world.fleet.update_links(worker, |_| true, |link| link.reachability = reachability);
+fn set_reachability(testbed: &Testbed, worker: WorkerIndex, reachability: Reachability) {
+    testbed.fleet.update_links(worker, |_| true, |link| link.reachability = reachability);
 }
 
-fn crash(world: &World, worker: WorkerIndex) {
-    set_reachability(world, worker, Reachability::Refused);
-    world.fleet.worker(worker).crash();
-    world.fleet.set_health(worker, Health::Gone, draw_discovery_delay());
+fn crash(testbed: &Testbed, worker: WorkerIndex) {
+    set_reachability(testbed, worker, Reachability::Refused);
+    testbed.fleet.worker(worker).crash();
+    testbed.fleet.set_health(worker, Health::Gone, draw_discovery_delay());
 }
 
 /// Drains a worker and adds a cold one to replace it.
-fn replace(world: &Arc<World>, worker: WorkerIndex, discovery_delay: Duration) {
-    if world.fleet.health(worker) != Health::Ready {
+fn replace(testbed: &Arc<Testbed>, worker: WorkerIndex, discovery_delay: Duration) {
+    if testbed.fleet.health(worker) != Health::Ready {
         return;
     }
-    let role = world.fleet.worker(worker).settings.role;
-    world.fleet.set_health(worker, Health::Draining, discovery_delay);
-    let deployment = world.deployment;
-    let added = world.fleet.add_worker(move |index| deployment.worker(index, role), true, discovery_delay);
+    let role = testbed.fleet.worker(worker).settings.role;
+    testbed.fleet.set_health(worker, Health::Draining, discovery_delay);
+    let deployment = testbed.deployment;
+    let added =
+        testbed.fleet.add_worker(move |index| deployment.worker_settings(index, role), true, discovery_delay);
     if let Err(error) = added {
         eprintln!("failed to add a replacement for worker {worker}: {error}");
     }
-    let world = world.clone();
+    let testbed = testbed.clone();
     tokio::spawn(async move {
         tokio::time::sleep(discovery_delay + DRAIN_DELAY).await;
-        world.fleet.worker(worker).set_draining(true);
+        testbed.fleet.worker(worker).set_draining(true);
     });
 }
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! A randomized fault soak. Real router processes run among the stand-ins of [`fleet_emulator`] while overlapping
-//! faults are injected, and an oracle checks the history of the run against the router's invariants.
+//! A randomized fault soak. Router processes run against the emulated workers, links, discovery agents and
+//! clients of [`fleet_emulator`] while overlapping faults are injected. An oracle checks the history of the
+//! run against the router's invariants.
 //!
-//! The [`deployment`], the [`faults`] and their times follow from the seed of a run. What the router and the stand-ins
-//! do in between does not, so a run with the same seed has the same faults but not the same requests. Each violation
-//! is reported with the records and the log lines of its request.
+//! The [`deployment`], the [`faults`] and their schedule are functions of the seed of a run. The behaviour
+//! of the routers and the emulated components is not, so runs with the same seed have the same faults but
+//! not the same requests. Each violation is reported with the records and log lines of the affected request.
 
 pub mod deployment;
 pub mod error;
@@ -14,4 +15,4 @@
 pub mod router;
 pub mod run;
 pub mod scenario;
-pub mod world;
+pub mod testbed;
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -1,4 +1,4 @@
-//! The ordinary clients: an open loop of requests to each router.
+//! The regular clients: an open-loop load of requests on each router.
 
 use crate::deployment::{CLASSES, Deployment};
 use fleet_emulator::client::{ClientBehaviour, Clients, Outcome, Request, SharedPrefix};
@@ -11,31 +11,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The share of clients that disconnect early unless a fault changes it.
+/// The share of clients that disconnect early if no fault is injected.
 pub const DEFAULT_DISCONNECT_SHARE: f64 = 0.06;
-/// The largest number of requests that one client sends until one succeeds.
+/// The maximum number of requests that a client sends until one succeeds.
 const MAX_CLIENT_ATTEMPTS: u32 = 3;
-/// The pause before a client retries an idempotent request that failed.
+/// The pause before a client retries a failed idempotent request.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// The share of clients that honour `Retry-After`; the others retry at once.
 const RETRY_AFTER_SHARE: f64 = 0.5;
-/// The latest time after sending its request at which a client disconnects.
+/// The maximum time between a request and the early disconnection of its client.
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_secs(1);
-/// The share of requests with a timeout that can hardly be met.
+/// The share of requests with a timeout that is too short for most responses.
 const SHORT_TIMEOUT_SHARE: f64 = 0.03;
-/// The shortest ordinary deadline, as a share of the longest one.
+/// The minimum deadline of the other requests, as a share of the maximum.
 const MIN_DEADLINE_SHARE: f64 = 0.3;
-/// The share of requests whose prompt starts with a prefix that other requests have as well.
+/// The share of requests whose prompts share a prefix with those of other requests.
 const SHARED_PREFIX_SHARE: f64 = 0.6;
 /// The length of a shared prefix in tokens.
 const SHARED_PREFIX_TOKENS: u64 = 400;
 
-static NEXT_REQUEST: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// How many requests clients send, and how they behave.
+/// The request rate and the behaviour of the clients.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
-    /// The multiple of the deployment's request rate.
+    /// The factor by which the deployment's request rate is multiplied.
     pub rate_multiplier: f64,
     /// The share of clients that disconnect early.
     pub disconnect_share: f64,
@@ -43,21 +43,21 @@
     pub slow_share: f64,
 }
 
-/// The clients of all routers.
+/// The load that clients put on all routers.
 #[derive(Debug)]
 pub struct Load {
     /// Requests per second at each router.
     rate: f64,
     max_deadline: Duration,
     clients: Vec<Clients>,
-    /// For each router: whether new connections are sent to it, as a load balancer in front of the routers decides.
-    is_open: Vec<AtomicBool>,
+    /// Whether each router is in the rotation of the load balancer, that is, gets new connections.
+    is_in_rotation: Vec<AtomicBool>,
     profile: Mutex<LoadProfile>,
     is_finished: AtomicBool,
 }
 
 impl Load {
-    /// Creates the clients of a deployment. No router is open yet.
+    /// Creates the clients of a deployment, with no router in rotation.
     pub fn new(deployment: &Deployment, network: LoopbackNetwork, history: &History) -> Self {
         let clients = |router| Clients::new(router, network.router_address(router), history.clone());
         let profile =
@@ -66,28 +66,28 @@
             rate: deployment.request_rate,
             max_deadline: deployment.scenario.max_deadline,
             clients: (0..deployment.routers).map(clients).collect(),
-            is_open: (0..deployment.routers).map(|_| AtomicBool::new(false)).collect(),
+            is_in_rotation: (0..deployment.routers).map(|_| AtomicBool::new(false)).collect(),
             profile: Mutex::new(profile),
             is_finished: AtomicBool::new(false),
         }
     }
 
     /// Sets whether new connections are sent to a router. Open connections remain in use.
-    pub fn set_open(&self, router: RouterIndex, is_open: bool) {
-        self.is_open[router].store(is_open, Ordering::Relaxed);
+    pub fn set_in_rotation(&self, router: RouterIndex, is_in_rotation: bool) {
+        self.is_in_rotation[router].store(is_in_rotation, Ordering::Relaxed);
     }
 
-    /// Stops sending requests. Those that were sent continue.
+    /// Stops sending requests. Requests in flight continue.
     pub fn finish(&self) {
         self.is_finished.store(true, Ordering::Relaxed);
     }
 
-    /// Whether no more requests are sent.
+    /// Whether clients have stopped sending requests.
     pub fn is_finished(&self) -> bool {
         self.is_finished.load(Ordering::Relaxed)
     }
 
-    /// Changes the profile of the load.
+    /// Changes the load profile.
     pub fn update(&self, change: impl FnOnce(&mut LoadProfile)) {
         change(&mut lock(&self.profile));
     }
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Runs one client, which may retry its request.
+    /// Runs one client, which sends a request and may retry it.
     async fn run_client(self: Arc<Self>, router: RouterIndex) {
         let mut request = draw_request(self.max_deadline);
         for _ in 0..MAX_CLIENT_ATTEMPTS {
-            // A client keeps using its own connection for as long as that stays open.
-            let is_open = self.is_open[router].load(Ordering::Relaxed);
-            if !is_open && !self.clients[router].has_idle() {
+            // A client keeps using its connection while that stays open.
+            let is_in_rotation = self.is_in_rotation[router].load(Ordering::Relaxed);
+            if !is_in_rotation && !self.clients[router].has_idle() {
                 return;
             }
             let behaviour = self.draw_behaviour(request.first_token_timeout);
@@ -122,7 +122,7 @@
                 return;
             }
             tokio::time::sleep(pause).await;
-            request.id = next_id();
+            request.id = next_request_id();
         }
     }
 
@@ -136,7 +136,7 @@
     }
 }
 
-/// The pause before a client sends its request again; `None` if it must not, or need not.
+/// The pause before a client retries its request, or `None` if a retry is not safe or not needed.
 fn retry_pause(outcome: Outcome, idempotency: Idempotency) -> Option<Duration> {
     match outcome {
         Outcome::Completed => None,
@@ -149,8 +149,8 @@
     }
 }
 
-fn next_id() -> RequestId {
-    format!("q{:06}", NEXT_REQUEST.fetch_add(1, Ordering::Relaxed)).into()
+fn next_request_id() -> RequestId {
+    format!("q{:06}", NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed)).into()
 }
 
 fn draw_request(max_deadline: Duration) -> Request {
@@ -166,7 +166,7 @@
         tokens: SHARED_PREFIX_TOKENS,
     });
     Request {
-        id: next_id(),
+        id: next_request_id(),
         class: class.name,
         idempotency: class.idempotency,
         session: format!("s{}", random.random_range(0..500)),
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the fault soak for one or more seeds and writes a report for each.
+//! Runs the fault soak for one or more seeds and writes a report for each of them.
 
 use clap::Parser;
 use fault_soak::error::SoakError;
@@ -17,34 +17,34 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The number of runs, one after another, each with the next seed.
+    /// The number of consecutive runs, each with the next seed.
     #[arg(long, default_value_t = 1)]
     runs: u64,
     /// The number of router processes.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=40))]
     routers: u64,
-    /// The time in seconds during which faults are injected; a run takes half a minute more.
+    /// The time in seconds during which faults are injected. A run takes about 30 seconds more.
     #[arg(long, default_value_t = 16)]
     seconds: u64,
-    /// Run without any fault.
+    /// Inject no faults.
     #[arg(long, visible_alias = "calm")]
     fault_free: bool,
     /// Inject only faults whose names contain one of these texts, separated by commas.
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
-    /// Report violations that a delay of the harness may explain, but do not fail for them.
+    /// Report violations that a delay of the test harness may explain, but do not fail because of them.
     #[arg(long)]
     allow_doubtful: bool,
-    /// The router program.
+    /// The path of the router program.
     #[arg(long, default_value = "target/release/llm-router")]
     router: PathBuf,
-    /// The fault shim.
+    /// The path of the fault shim.
     #[arg(long, default_value = "target/release/libfault_shim.so")]
     shim: PathBuf,
-    /// A folder for the logs of the routers.
+    /// The directory for the logs of the routers. Without it, no logs are written.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// A folder for the reports.
+    /// The directory for the reports.
     #[arg(long, default_value = "found/soak")]
     reports: PathBuf,
 }
@@ -58,19 +58,19 @@
             Ok(0) => {}
             Ok(_violations) => failed += 1,
             Err(error) => {
-                eprintln!("seed {seed}: not run: {error}");
+                eprintln!("seed {seed}: error: {error}");
                 failed += 1;
             }
         }
     }
-    println!("{} seeds run, {failed} with violations", arguments.runs);
+    println!("{} seeds run, {failed} failed", arguments.runs);
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs one seed, writes its report and returns the number of violations that count.
+/// Runs one seed, writes its report and returns the number of violations that are not ignored.
 async fn run_seed(arguments: &Arguments, seed: u64) -> Result<usize, SoakError> {
-    let folder = std::env::temp_dir().join(format!("fault-soak-{}-{seed}", std::process::id()));
-    create_folder(&folder)?;
+    let directory = std::env::temp_dir().join(format!("fault-soak-{}-{seed}", std::process::id()));
+    create_directory(&directory)?;
     let programs = Programs { router: absolute(&arguments.router)?, shim: absolute(&arguments.shim)? };
     let options = Options {
         seed,
@@ -79,29 +79,29 @@
         is_fault_free: arguments.fault_free,
         only: arguments.only.clone(),
         programs,
-        folder: folder.clone(),
+        directory: directory.clone(),
     };
     let finished = run(&options).await?;
-    let entries = finished.world.history().entries();
-    let verdict = judge(&entries, &finished.world.deployment, finished.observed.clone());
-    println!("seed {seed}: {}", report::headline(&verdict));
+    let entries = finished.testbed.history().entries();
+    let verdict = judge(&entries, &finished.testbed.deployment, finished.observation_window.clone());
+    println!("seed {seed}: {}", report::format_summary(&verdict));
     if let Some(logs) = &arguments.logs {
-        create_folder(logs)?;
+        create_directory(logs)?;
         report::write_logs(&finished, &entries, logs)?;
     }
-    create_folder(&arguments.reports)?;
+    create_directory(&arguments.reports)?;
     let file = arguments.reports.join(format!("seed-{seed}.txt"));
-    std::fs::write(&file, report::text(&finished, &entries, &verdict))
-        .map_err(|error| SoakError::Files(file, error))?;
-    std::fs::remove_dir_all(&folder).map_err(|error| SoakError::Files(folder, error))?;
-    let counts = |violation: &&Violation| !(arguments.allow_doubtful && violation.is_doubtful);
-    Ok(verdict.violations.iter().filter(counts).count())
+    std::fs::write(&file, report::format_report(&finished, &entries, &verdict))
+        .map_err(|error| SoakError::FileAccess(file, error))?;
+    std::fs::remove_dir_all(&directory).map_err(|error| SoakError::FileAccess(directory, error))?;
+    let is_counted = |violation: &&Violation| !(arguments.allow_doubtful && violation.is_doubtful);
+    Ok(verdict.violations.iter().filter(is_counted).count())
 }
 
-fn create_folder(folder: &Path) -> Result<(), SoakError> {
-    std::fs::create_dir_all(folder).map_err(|error| SoakError::Files(folder.to_owned(), error))
+fn create_directory(directory: &Path) -> Result<(), SoakError> {
+    std::fs::create_dir_all(directory).map_err(|error| SoakError::FileAccess(directory.to_owned(), error))
 }
 
 fn absolute(path: &Path) -> Result<PathBuf, SoakError> {
-    std::path::absolute(path).map_err(|error| SoakError::Files(path.to_owned(), error))
+    std::path::absolute(path).map_err(|error| SoakError::FileAccess(path.to_owned(), error))
 }
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run, for people to read.
+//! The human-readable report of a run.
 
 use crate::error::SoakError;
 use crate::oracle::{Invariant, Verdict, Violation};
@@ -10,25 +10,26 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// The number of violations of one invariant that are reported with their records and log lines.
+/// The maximum number of violations per invariant that are reported with their records and log lines.
 const MAX_DETAILED: usize = 2;
-/// The number of violations of one invariant that are listed.
+/// The maximum number of violations per invariant that are listed.
 const MAX_LISTED: usize = 12;
 
-/// The whole report.
-pub fn text(finished: &FinishedRun, entries: &[Entry], verdict: &Verdict) -> String {
-    let mut out = String::new();
-    let start = start_of(entries);
-    let _ = writeln!(out, "seed {}: {}", finished.seed, headline(verdict));
-    let _ = writeln!(out, "{:?}", finished.world.deployment);
+/// Formats the complete report.
+pub fn format_report(finished: &FinishedRun, entries: &[Entry], verdict: &Verdict) -> String {
+    let mut report = String::new();
+    let start = start_time(entries);
+    let _ = writeln!(report, "seed {}: {}", finished.seed, format_summary(verdict));
+    let _ = writeln!(report, "{:?}", finished.testbed.deployment);
     for planned in &finished.plan {
         let (from, until) = (planned.from.as_millis(), planned.until.as_millis());
-        let _ = writeln!(out, "  {from:>6} to {until:>6} ms  {}: {:?}", planned.fault.name(), planned.fault);
+        let _ =
+            writeln!(report, "  {from:>6} to {until:>6} ms  {}: {:?}", planned.fault.name(), planned.fault);
     }
     for entry in entries {
         if let Record::HarnessDelayed { by } = entry.record {
             let at = milliseconds_since(start, entry.at);
-            let _ = writeln!(out, "  {at:>6} ms  the harness was delayed by {} ms", by.as_millis());
+            let _ = writeln!(report, "  {at:>6} ms  the harness was delayed by {} ms", by.as_millis());
         }
     }
     let mut by_invariant: BTreeMap<Invariant, Vec<&Violation>> = BTreeMap::new();
@@ -36,41 +37,41 @@
         by_invariant.entry(violation.invariant).or_default().push(violation);
     }
     for (invariant, violations) in by_invariant {
-        let _ = writeln!(out, "\n== {invariant:?}: {}", violations.len());
+        let _ = writeln!(report, "\n== {invariant:?}: {}", violations.len());
         for violation in violations.iter().take(MAX_LISTED) {
-            let _ = writeln!(out, "  {:>8} ms  {violation}", milliseconds_since(start, violation.at));
+            let _ = writeln!(report, "  {:>8} ms  {violation}", milliseconds_since(start, violation.at));
         }
         for violation in violations.iter().take(MAX_DETAILED) {
-            write_details(&mut out, finished, entries, start, violation);
+            write_details(&mut report, finished, entries, start, violation);
         }
     }
-    out
+    report
 }
 
-/// Writes the log of each router to a file of its own, with times relative to the start of the run.
+/// Writes the log of each router to a separate file, with times relative to the start of the run.
 ///
 /// # Errors
-/// A file can't be written.
-pub fn write_logs(finished: &FinishedRun, entries: &[Entry], folder: &Path) -> Result<(), SoakError> {
-    let start = start_of(entries);
-    for router in &finished.world.routers {
+/// Returns an error if a file can't be written.
+pub fn write_logs(finished: &FinishedRun, entries: &[Entry], directory: &Path) -> Result<(), SoakError> {
+    let start = start_time(entries);
+    for router in &finished.testbed.routers {
         let mut text = String::new();
         for line in router.log.lines_containing("") {
             let _ = writeln!(text, "{:>8} ms  {}", milliseconds_since(start, line.at), line.text);
         }
-        let file = folder.join(format!("seed-{}-router-{}.log", finished.seed, router.index));
-        std::fs::write(&file, text).map_err(|error| SoakError::Files(file, error))?;
+        let file = directory.join(format!("seed-{}-router-{}.log", finished.seed, router.index));
+        std::fs::write(&file, text).map_err(|error| SoakError::FileAccess(file, error))?;
     }
     Ok(())
 }
 
-/// The verdict in one line.
-pub fn headline(verdict: &Verdict) -> String {
+/// Formats the verdict in one line.
+pub fn format_summary(verdict: &Verdict) -> String {
     let summary = &verdict.summary;
     let delays = summary.stream_delays;
     format!(
         "{}; {:?}; recovered {:.3}; {} of {} streams delayed",
-        violation_counts(&verdict.violations),
+        format_violation_counts(&verdict.violations),
         summary.outcomes,
         summary.recovered_share,
         delays.delayed,
@@ -80,29 +81,29 @@
 
 /// The number of violations of one invariant.
 #[derive(Default)]
-struct Count {
-    all: usize,
+struct ViolationCount {
+    total: usize,
     doubtful: usize,
 }
 
-fn violation_counts(violations: &[Violation]) -> String {
+fn format_violation_counts(violations: &[Violation]) -> String {
     if violations.is_empty() {
         return "no violation".to_owned();
     }
-    let mut counts: BTreeMap<Invariant, Count> = BTreeMap::new();
+    let mut counts: BTreeMap<Invariant, ViolationCount> = BTreeMap::new();
     for violation in violations {
         let count = counts.entry(violation.invariant).or_default();
-        count.all += 1;
+        count.total += 1;
         count.doubtful += usize::from(violation.is_doubtful);
     }
-    let describe = |(invariant, count): (&Invariant, &Count)| match count.doubtful {
-        0 => format!("{invariant:?} {}", count.all),
-        doubtful => format!("{invariant:?} {} ({doubtful} doubtful)", count.all),
+    let format_count = |(invariant, count): (&Invariant, &ViolationCount)| match count.doubtful {
+        0 => format!("{invariant:?} {}", count.total),
+        doubtful => format!("{invariant:?} {} ({doubtful} doubtful)", count.total),
     };
-    counts.iter().map(describe).collect::<Vec<_>>().join(", ")
+    counts.iter().map(format_count).collect::<Vec<_>>().join(", ")
 }
 
-fn start_of(entries: &[Entry]) -> Timestamp {
+fn start_time(entries: &[Entry]) -> Timestamp {
     entries.first().map_or_else(Timestamp::default, |entry| entry.at)
 }
 
@@ -110,21 +111,21 @@
     at.since(start).as_millis()
 }
 
-/// Writes all records and log lines of the request that a violation concerns.
+/// Writes all records and log lines of the request that a violation affects.
 fn write_details(
-    out: &mut String,
+    report: &mut String,
     finished: &FinishedRun,
     entries: &[Entry],
     start: Timestamp,
     violation: &Violation,
 ) {
     let Some(request) = &violation.request else { return };
-    let _ = writeln!(out, "\n  -- {violation}");
+    let _ = writeln!(report, "\n  -- {violation}");
     for entry in entries.iter().filter(|entry| entry.record.request() == Some(request)) {
-        let _ = writeln!(out, "     {:>8} ms  {:?}", milliseconds_since(start, entry.at), entry.record);
+        let _ = writeln!(report, "     {:>8} ms  {:?}", milliseconds_since(start, entry.at), entry.record);
     }
-    let log = &finished.world.routers[violation.router].log;
+    let log = &finished.testbed.routers[violation.router].log;
     for line in log.lines_containing(request) {
-        let _ = writeln!(out, "     {:>8} ms  log: {}", milliseconds_since(start, line.at), line.text);
+        let _ = writeln!(report, "     {:>8} ms  log: {}", milliseconds_since(start, line.at), line.text);
     }
 }
--- a/crates/fault-soak/src/router/mod.rs
+++ b/crates/fault-soak/src/router/mod.rs
@@ -59,22 +59,22 @@
 }
 
 impl Router {
-    /// Creates a router with its files in `folder`, without starting a process.
+    /// Creates a router with its files in `directory`, without starting a process.
     ///
     /// # Errors
-    /// Fails if the control block can't be created.
+    /// Returns an error if the control block can't be created.
     pub fn new(
         index: RouterIndex,
         address: SocketAddr,
-        folder: &Path,
+        directory: &Path,
         programs: Programs,
         history: History,
     ) -> io::Result<Self> {
-        let control_file = folder.join(format!("router-{index}.control"));
+        let control_file = directory.join(format!("router-{index}.control"));
         Ok(Router {
             index,
             address,
-            configuration: folder.join(format!("router-{index}.json")),
+            configuration: directory.join(format!("router-{index}.json")),
             control: Control::create(&control_file)?,
             log: Log::default(),
             control_file,
@@ -88,7 +88,7 @@
     /// Starts a process and waits until it is ready or has exited.
     ///
     /// # Errors
-    /// Fails if the program can't be started.
+    /// Returns an error if the program can't be started.
     pub async fn start(&self) -> io::Result<()> {
         let mut child = self.command().spawn()?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
--- a/crates/fault-soak/src/router/process.rs
+++ b/crates/fault-soak/src/router/process.rs
@@ -72,9 +72,9 @@
 
     /// Reads the resource usage of the process from `/proc`.
     pub(super) fn resource_usage(&self) -> ResourceUsage {
-        let folder = PathBuf::from(format!("/proc/{}", self.pid.as_raw_nonzero()));
-        let descriptors = std::fs::read_dir(folder.join("fd")).map_or(0, Iterator::count);
-        let status = std::fs::read_to_string(folder.join("status")).unwrap_or_default();
+        let directory = PathBuf::from(format!("/proc/{}", self.pid.as_raw_nonzero()));
+        let descriptors = std::fs::read_dir(directory.join("fd")).map_or(0, Iterator::count);
+        let status = std::fs::read_to_string(directory.join("status")).unwrap_or_default();
         let resident_set_size = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let memory_kb =
             resident_set_size.and_then(|text| text.trim().split(' ').next()?.parse().ok()).unwrap_or(0);
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: it starts a world of stand-ins and router processes, injects the planned faults and observes the recovery.
+//! A run of the fault soak: it starts the emulated fleet and the router processes, injects the planned
+//! faults and observes the recovery.
 
 use crate::deployment::Deployment;
 use crate::error::SoakError;
@@ -6,7 +7,7 @@
 use crate::faults::plan::{PlannedFault, draw_plan};
 use crate::router::{Programs, Router};
 use crate::scenario::Scenario;
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::clock::{self, Timestamp};
 use fleet_emulator::record::{Record, RouterSignal};
 use rand::SeedableRng;
@@ -16,19 +17,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time that the fleet has to recover after the last fault.
+/// The time from the last fault until service has to be back to normal.
 pub const RECOVERY_TIME: Duration = Duration::from_secs(6);
-/// The time for which the recovered fleet is observed.
+/// The length of the observation window after the recovery.
 pub const OBSERVATION_TIME: Duration = Duration::from_secs(4);
-/// By this time after the last request, every response has arrived or its client has given up on it.
+/// The time after the last request by which every client has received its response or timed out.
 const SETTLE_TIME: Duration = Duration::from_millis(8_500);
-/// The interval at which the resources of router processes are sampled.
+/// The interval at which the resource usage of router processes is sampled.
 const RESOURCE_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// The interval of the timer by which the harness measures its own delay.
+/// The interval of the timer that measures the delay of the test harness.
 const DELAY_PROBE_INTERVAL: Duration = Duration::from_millis(5);
-/// The shortest delay of the harness that is recorded.
+/// The minimum delay of the test harness that is recorded.
 const MIN_RECORDED_DELAY: Duration = Duration::from_millis(30);
-/// The time that routers have for their graceful shutdown at the end of a run.
+/// The timeout for the graceful shutdown of the routers at the end of a run.
 const FINAL_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The options of a run.
@@ -38,66 +39,68 @@
     pub seed: u64,
     /// The number of router processes.
     pub router_count: usize,
-    /// The time during which faults are injected.
+    /// The duration of the period in which faults are injected.
     pub fault_period: Duration,
-    /// Whether to inject no fault at all.
+    /// Whether to inject no faults.
     pub is_fault_free: bool,
-    /// If not empty: inject only faults whose names contain one of these texts.
+    /// If not empty, only faults whose names contain one of these texts are injected.
     pub only: Vec<String>,
     /// The programs under test.
     pub programs: Programs,
-    /// A folder for the files of the routers.
-    pub folder: PathBuf,
+    /// The directory for the files of the routers.
+    pub directory: PathBuf,
 }
 
-/// A run that has ended.
+/// A finished run.
 pub struct FinishedRun {
     /// The seed of the run.
     pub seed: u64,
-    /// The world, with its history and the logs of the routers.
-    pub world: Arc<World>,
-    /// The faults that were injected.
+    /// The test bed, with its history and the logs of the routers.
+    pub testbed: Arc<Testbed>,
+    /// The injected faults.
     pub plan: Vec<PlannedFault>,
-    /// The time during which the recovered fleet was observed.
-    pub observed: Range<Timestamp>,
+    /// The period after the recovery in which service has to be back to normal.
+    pub observation_window: Range<Timestamp>,
 }
 
-/// Carries out a run from its seed to its end.
+/// Executes a run.
 ///
 /// # Errors
-/// The fleet or a router can't be started.
+/// Returns an error if the fleet or a router can't be started.
 pub async fn run(options: &Options) -> Result<FinishedRun, SoakError> {
     let mut random = StdRng::seed_from_u64(options.seed);
-    let deployment = Deployment::draw(&mut random, options.router_count, Scenario::of_seed(options.seed));
-    let world = World::start(options.seed, deployment, &options.programs, &options.folder).await?;
+    let deployment = Deployment::draw(&mut random, options.router_count, Scenario::from_seed(options.seed));
+    let testbed = Testbed::start(options.seed, deployment, &options.programs, &options.directory).await?;
     for router in 0..options.router_count {
-        world.start_router(router).await?;
+        testbed.start_router(router).await?;
     }
-    let monitors =
-        [tokio::spawn(sample_resources(world.clone())), tokio::spawn(measure_delay(world.clone()))];
+    let monitors = [
+        tokio::spawn(sample_resources(testbed.clone())),
+        tokio::spawn(measure_harness_delay(testbed.clone())),
+    ];
     for router in 0..options.router_count {
-        tokio::spawn(world.load.clone().run(router));
+        tokio::spawn(testbed.load.clone().run(router));
         if deployment.scenario.has_idle_connection_flood {
-            tokio::spawn(flood_with_idle_connections(world.clone(), router));
+            tokio::spawn(flood_with_idle_connections(testbed.clone(), router));
         }
     }
     let plan = plan_faults(options, &deployment, &mut random);
     let start = clock::now();
-    schedule(&world, &plan, start);
+    schedule_faults(&testbed, &plan, start);
     let observed_from = start + options.fault_period + RECOVERY_TIME;
-    let observed = observed_from..observed_from + OBSERVATION_TIME;
-    clock::sleep_until(observed.end).await;
-    world.load.finish();
+    let observation_window = observed_from..observed_from + OBSERVATION_TIME;
+    clock::sleep_until(observation_window.end).await;
+    testbed.load.finish();
     tokio::time::sleep(SETTLE_TIME).await;
-    shut_down_routers(&world).await;
+    shut_down_routers(&testbed).await;
     for monitor in monitors {
         monitor.abort();
     }
-    Ok(FinishedRun { seed: options.seed, world, plan, observed })
+    Ok(FinishedRun { seed: options.seed, testbed, plan, observation_window })
 }
 
-/// Draws all faults of the seed and selects those that the options ask for, so that a selection does not change when
-/// and where the selected faults strike.
+/// Draws all faults of the seed before it applies the filters of the options, so that a filter does not
+/// change the times and targets of the remaining faults.
 fn plan_faults(options: &Options, deployment: &Deployment, random: &mut StdRng) -> Vec<PlannedFault> {
     let workers = deployment.prefill_workers + deployment.decode_workers;
     let mut plan = draw_plan(random, options.router_count, workers, options.fault_period);
@@ -109,44 +112,44 @@
     plan
 }
 
-/// Starts a task for each planned fault that waits for its time.
-fn schedule(world: &Arc<World>, plan: &[PlannedFault], start: Timestamp) {
+/// Spawns a task for each planned fault, which injects the fault at its time.
+fn schedule_faults(testbed: &Arc<Testbed>, plan: &[PlannedFault], start: Timestamp) {
     for planned in plan.iter().cloned() {
-        let world = world.clone();
+        let testbed = testbed.clone();
         tokio::spawn(async move {
             clock::sleep_until(start + planned.from).await;
             let duration = planned.until - planned.from;
-            planned.fault.run(&world, duration).await;
+            planned.fault.run(&testbed, duration).await;
         });
     }
 }
 
-async fn shut_down_routers(world: &World) {
-    for router in &world.routers {
+async fn shut_down_routers(testbed: &Testbed) {
+    for router in &testbed.routers {
         router.signal(RouterSignal::Terminate);
     }
-    for router in &world.routers {
+    for router in &testbed.routers {
         if !router.exits_within(FINAL_SHUTDOWN_TIMEOUT).await {
             router.signal(RouterSignal::Kill);
         }
     }
 }
 
-async fn sample_resources(world: Arc<World>) {
+async fn sample_resources(testbed: Arc<Testbed>) {
     loop {
-        world.routers.iter().for_each(Router::record_resources);
+        testbed.routers.iter().for_each(Router::record_resources);
         tokio::time::sleep(RESOURCE_SAMPLE_INTERVAL).await;
     }
 }
 
-/// Records when the timers of the harness fire late, since everything it observes is then late as well.
-async fn measure_delay(world: Arc<World>) {
+/// Records when timers of the test harness fire late, because all of its observations are late then.
+async fn measure_harness_delay(testbed: Arc<Testbed>) {
     loop {
         let due = clock::now() + DELAY_PROBE_INTERVAL;
         tokio::time::sleep(DELAY_PROBE_INTERVAL).await;
         let by = clock::now().since(due);
         if by > MIN_RECORDED_DELAY {
-            world.history().add(Record::HarnessDelayed { by });
+            testbed.history().add(Record::HarnessDelayed { by });
         }
     }
 }
--- a/crates/fault-soak/src/world.rs
+++ b/crates/fault-soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The world of a run: the emulated fleet, the router processes and the load.
+//! The test bed of a run: the emulated fleet, the router processes and the load.
 
 use crate::deployment::{Deployment, RouterAddresses};
 use crate::error::SoakError;
@@ -16,57 +16,58 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The loopback networks in use, from 127.2.0.0/16 on.
+/// The second octet of the first loopback network, 127.2.0.0/16.
 const FIRST_NETWORK: u64 = 2;
-const NETWORKS: u64 = 250;
+/// The number of loopback networks in use.
+const NETWORK_COUNT: u64 = 250;
 
-/// Everything that a run consists of.
-pub struct World {
-    /// The deployment.
+/// The components of a run.
+pub struct Testbed {
+    /// The size and the settings of the fleet.
     pub deployment: Deployment,
-    /// Workers, links and discovery agents.
+    /// The emulated workers, links and discovery agents.
     pub fleet: Arc<Fleet>,
     /// The router processes.
     pub routers: Vec<Router>,
-    /// The ordinary clients.
+    /// The regular clients.
     pub load: Arc<Load>,
     router_states: Vec<RouterState>,
 }
 
-/// What the world tracks about one router besides its process.
+/// The state of one router besides its process.
 #[derive(Debug, Default)]
 struct RouterState {
-    /// How often the router's discovery agent has moved.
-    discovery_moves: AtomicUsize,
+    /// The number of moves of the router's discovery agent.
+    agent_moves: AtomicUsize,
     /// Whether the process is being replaced.
     is_restarting: AtomicBool,
 }
 
-impl World {
-    /// Starts the fleet of a deployment. No router runs yet.
+impl Testbed {
+    /// Starts the fleet of a deployment, without any router process.
     ///
     /// # Errors
-    /// An address of the fleet is in use, or the files of a router can't be created.
+    /// Returns an error if an address of the fleet is in use or the files of a router can't be created.
     pub async fn start(
         seed: u64,
         deployment: Deployment,
         programs: &Programs,
-        folder: &Path,
+        directory: &Path,
     ) -> Result<Arc<Self>, SoakError> {
         let history = History::default();
-        // Concurrent and successive runs use different addresses.
-        let network = FIRST_NETWORK + (u64::from(std::process::id()) + seed) % NETWORKS;
+        // Concurrent and consecutive runs use different networks.
+        let network = FIRST_NETWORK + (u64::from(std::process::id()) + seed) % NETWORK_COUNT;
         let network = LoopbackNetwork::new(network as u8);
         let fleet = start_fleet(network, &deployment, &history).await.map_err(SoakError::StartFleet)?;
         let new_router = |index| {
             let address = network.router_address(index);
-            Router::new(index, address, folder, programs.clone(), history.clone())
+            Router::new(index, address, directory, programs.clone(), history.clone())
                 .map_err(|error| SoakError::CreateControlBlock(index, error))
         };
         let routers = (0..deployment.routers).map(new_router).collect::<Result<Vec<Router>, SoakError>>()?;
         let load = Arc::new(Load::new(&deployment, network, &history));
         let router_states = (0..deployment.routers).map(|_| RouterState::default()).collect();
-        Ok(Arc::new(World { deployment, fleet, routers, load, router_states }))
+        Ok(Arc::new(Testbed { deployment, fleet, routers, load, router_states }))
     }
 
     /// The history of the run.
@@ -74,27 +75,29 @@
         &self.fleet.history
     }
 
-    /// Starts the process of a router, waits until it is ready and opens it to clients.
+    /// Starts the process of a router, waits until it is ready and adds it to the rotation of the load
+    /// balancer.
     ///
     /// # Errors
-    /// The configuration can't be written or the program can't be started.
+    /// Returns an error if the configuration can't be written or the program can't be started.
     pub async fn start_router(&self, router: RouterIndex) -> Result<(), SoakError> {
         self.write_configuration(router).map_err(|error| SoakError::WriteConfiguration(router, error))?;
         self.routers[router].start().await.map_err(|error| SoakError::StartRouter(router, error))?;
-        self.load.set_open(router, true);
+        self.load.set_in_rotation(router, true);
         Ok(())
     }
 
-    /// Begins to replace the process of a router, unless it does not run or is being replaced already.
-    pub fn begin_restart(&self, router: RouterIndex) -> Option<Restart<'_>> {
+    /// Begins to replace the process of a router. Returns `None` if no process runs or it is being replaced
+    /// already.
+    pub fn try_begin_restart(&self, router: RouterIndex) -> Option<RestartGuard<'_>> {
         let is_restarting = &self.router_states[router].is_restarting;
         let may_begin = self.routers[router].is_running() && !is_restarting.swap(true, Ordering::Relaxed);
-        may_begin.then_some(Restart { world: self, router })
+        may_begin.then_some(RestartGuard { testbed: self, router })
     }
 
-    /// Moves the discovery agent of a router and reloads the router's configuration.
-    pub async fn move_discovery(&self, router: RouterIndex) {
-        let moves = self.router_states[router].discovery_moves.fetch_add(1, Ordering::Relaxed) + 1;
+    /// Moves the discovery agent of a router to another address and has the router reload its configuration.
+    pub async fn move_discovery_agent(&self, router: RouterIndex) {
+        let moves = self.router_states[router].agent_moves.fetch_add(1, Ordering::Relaxed) + 1;
         let address = self.fleet.network.agent_address(router, moves);
         self.history().add(Record::DiscoveryDisturbed { router, allowance: MOVED_AGENT_ALLOWANCE });
         if self.fleet.agent(router).clone().move_to(address).await.is_ok() {
@@ -102,14 +105,14 @@
         }
     }
 
-    /// Writes the configuration of a router again and has the router reload it.
+    /// Rewrites the configuration of a router and has the router reload it.
     pub fn reload_configuration(&self, router: RouterIndex) {
         if self.write_configuration(router).is_ok() {
             self.signal_reload(router);
         }
     }
 
-    /// Truncates the configuration of a router in the middle and has the router reload it.
+    /// Truncates the configuration of a router to half its size and has the router reload it.
     pub fn truncate_configuration(&self, router: RouterIndex) {
         let file = &self.routers[router].configuration;
         let content = std::fs::read(file).unwrap_or_default();
@@ -118,15 +121,16 @@
         }
     }
 
-    /// Sends SIGHUP, except to a process that is being replaced: one that has not installed its handler would die.
+    /// Sends SIGHUP, except to a process that is being replaced: SIGHUP would end a new process that has
+    /// not installed its handler yet.
     fn signal_reload(&self, router: RouterIndex) {
         if !self.router_states[router].is_restarting.load(Ordering::Relaxed) {
             self.routers[router].signal(RouterSignal::Reload);
         }
     }
 
-    fn addresses(&self, router: RouterIndex) -> RouterAddresses {
-        let moves = self.router_states[router].discovery_moves.load(Ordering::Relaxed);
+    fn router_addresses(&self, router: RouterIndex) -> RouterAddresses {
+        let moves = self.router_states[router].agent_moves.load(Ordering::Relaxed);
         let network = self.fleet.network;
         RouterAddresses {
             listen: network.router_address(router),
@@ -138,29 +142,30 @@
         let endpoints =
             serde_json::to_value(self.fleet.agent(router).snapshot()).unwrap_or_else(|_| json!({}));
         let seed: u64 = rand::rng().random();
-        let value = self.deployment.configuration(router, &self.addresses(router), &endpoints, seed);
+        let value =
+            self.deployment.router_configuration(router, &self.router_addresses(router), &endpoints, seed);
         replace_file(&self.routers[router].configuration, value.to_string().as_bytes())
     }
 }
 
-/// The exclusive right to replace the process of a router. It ends when this is dropped.
-pub struct Restart<'a> {
-    world: &'a World,
+/// The exclusive permission to replace the process of a router, until it is dropped.
+pub struct RestartGuard<'a> {
+    testbed: &'a Testbed,
     router: RouterIndex,
 }
 
-impl Restart<'_> {
-    /// Starts the new process, after the old one has ended.
+impl RestartGuard<'_> {
+    /// Starts the new process. The old one must have exited.
     pub async fn start_process(self) {
-        if let Err(error) = self.world.start_router(self.router).await {
-            eprintln!("router {} can't be restarted: {error}", self.router);
+        if let Err(error) = self.testbed.start_router(self.router).await {
+            eprintln!("failed to restart router {}: {error}", self.router);
         }
     }
 }
 
-impl Drop for Restart<'_> {
+impl Drop for RestartGuard<'_> {
     fn drop(&mut self) {
-        self.world.router_states[self.router].is_restarting.store(false, Ordering::Relaxed);
+        self.testbed.router_states[self.router].is_restarting.store(false, Ordering::Relaxed);
     }
 }
 
@@ -170,17 +175,18 @@
     history: &History,
 ) -> io::Result<Arc<Fleet>> {
     let fleet =
-        Fleet::start(network, deployment.routers, deployment.scenario.names_per_worker, history.clone())
+        Fleet::start(network, deployment.routers, deployment.scenario.endpoints_per_worker, history.clone())
             .await?;
     let roles = std::iter::repeat_n(Role::Prefill, deployment.prefill_workers)
         .chain(std::iter::repeat_n(Role::Decode, deployment.decode_workers));
     for role in roles {
-        fleet.add_worker(|index| deployment.worker(index, role), false, Duration::ZERO)?;
+        fleet.add_worker(|index| deployment.worker_settings(index, role), false, Duration::ZERO)?;
     }
     Ok(fleet)
 }
 
-/// Replaces a file atomically, so that a router that starts meanwhile reads either the old or the new content.
+/// Replaces a file atomically, so that a router that starts meanwhile reads either the old or the new
+/// contents.
 fn replace_file(file: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = file.with_extension("new");
     std::fs::write(&new, bytes)?;
--- a/crates/fault-soak/tests/oracle.rs
+++ b/crates/fault-soak/tests/oracle.rs
@@ -106,7 +106,7 @@
 
     /// The invariants that the oracle reports as violated.
     fn violated_invariants(&mut self) -> Vec<Invariant> {
-        let deployment = Deployment::draw(&mut StdRng::seed_from_u64(1), 1, Scenario::of_seed(1));
+        let deployment = Deployment::draw(&mut StdRng::seed_from_u64(1), 1, Scenario::from_seed(1));
         let verdict = judge(&self.entries, &deployment, self.now..self.now);
         verdict.violations.into_iter().map(|violation| violation.invariant).collect()
     }
