--- a/crates/fault-soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -47,11 +47,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// The number of routers.
-    pub routers: usize,
+    pub router_count: usize,
     /// The number of prefill workers at the start.
-    pub prefill_workers: usize,
+    pub prefill_worker_count: usize,
     /// The number of decode workers at the start.
-    pub decode_workers: usize,
+    pub decode_worker_count: usize,
     /// The request rate at each router, in requests per second.
     pub request_rate: f64,
     /// The connect timeout of routers.
@@ -87,11 +87,11 @@
     pub const RESPONSE_SLACK: Duration = Duration::from_millis(16);
 
     /// Draws a deployment with the given number of routers.
-    pub fn draw(random: &mut StdRng, routers: usize, scenario: Scenario) -> Self {
+    pub fn draw(random: &mut StdRng, router_count: usize, scenario: Scenario) -> Self {
         Deployment {
-            routers,
-            prefill_workers: random.random_range(3..=5),
-            decode_workers: random.random_range(4..=6),
+            router_count,
+            prefill_worker_count: random.random_range(3..=5),
+            decode_worker_count: random.random_range(4..=6),
             request_rate: random.random_range(5.0..10.0),
             connect_timeout: Duration::from_millis(random.random_range(100..=300)),
             release_timeout: Duration::from_millis(500),
@@ -129,8 +129,7 @@
         }
     }
 
-    /// The configuration of a router. `endpoints` is the endpoint list that it knows from its previous
-    /// process.
+    /// The configuration of a router. `endpoints` is its last known endpoint list.
     pub fn router_configuration(
         &self,
         router: RouterIndex,
@@ -153,7 +152,7 @@
         let classes: Vec<Value> = CLASSES.iter().map(|class| self.class_settings(class)).collect();
         json!({
             "self_index": router,
-            "replicas_of_me": self.routers,
+            "replicas_of_me": self.router_count,
             "my_zone": format!("zone-{}", router as u64 % ZONE_COUNT),
             "registry_mode": "pushed",
             "skus": ["prefill", "decode"],
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -65,8 +65,8 @@
         Load {
             rate: deployment.request_rate,
             max_deadline: deployment.scenario.max_deadline,
-            clients: (0..deployment.routers).map(clients).collect(),
-            is_in_rotation: (0..deployment.routers).map(|_| AtomicBool::new(false)).collect(),
+            clients: (0..deployment.router_count).map(clients).collect(),
+            is_in_rotation: (0..deployment.router_count).map(|_| AtomicBool::new(false)).collect(),
             profile: Mutex::new(profile),
             is_finished: AtomicBool::new(false),
         }
--- a/crates/fault-soak/src/oracle/attempts.rs
+++ b/crates/fault-soak/src/oracle/attempts.rs
@@ -1,6 +1,6 @@
 //! Checks the attempts that routers make for requests, as observed on the network.
 
-use super::OBSERVATION_DELAY;
+use super::OBSERVATION_TOLERANCE;
 use super::observations::{Attempt, Observations, Request, WorkerProperties};
 use super::verdict::{Findings, Invariant};
 use crate::deployment::Deployment;
@@ -30,14 +30,14 @@
 
 fn check_start(findings: &mut Findings<'_>, request: &Request, attempt: &Attempt) {
     let started = attempt.started;
-    let is_after_disconnect = |at: &Timestamp| started > *at + DISCONNECT_GRACE + OBSERVATION_DELAY;
+    let is_after_disconnect = |at: &Timestamp| started > *at + DISCONNECT_GRACE + OBSERVATION_TOLERANCE;
     if let Some(disconnected) = request.client_disconnected.filter(is_after_disconnect) {
         let elapsed = started.since(disconnected).as_millis();
         let detail = format!("attempt started {elapsed} ms after the client disconnected");
         findings.add_for(request, Invariant::NoAttemptAfterDisconnect, started, attempt.router, detail);
     }
     let responded = request.response.as_ref().map(|response| response.at);
-    if let Some(responded) = responded.filter(|at| started > *at + OBSERVATION_DELAY) {
+    if let Some(responded) = responded.filter(|at| started > *at + OBSERVATION_TOLERANCE) {
         let elapsed = started.since(responded).as_millis();
         let detail = format!("attempt started {elapsed} ms after the response");
         findings.add_for(request, Invariant::NoAttemptAfterResponse, started, attempt.router, detail);
@@ -47,7 +47,7 @@
 fn check_propagated_deadline(findings: &mut Findings<'_>, request: &Request, attempt: &Attempt) {
     let (Some(propagated), Some(sent)) = (attempt.propagated_timeout, request.sent()) else { return };
     let remaining = sent.deadline().since(attempt.started);
-    if propagated > remaining + PROPAGATION_SLACK + OBSERVATION_DELAY {
+    if propagated > remaining + PROPAGATION_SLACK + OBSERVATION_TOLERANCE {
         let (propagated, remaining) = (propagated.as_millis(), remaining.as_millis());
         let detail = format!("propagated a timeout of {propagated} ms with {remaining} ms remaining");
         findings.add_for(request, Invariant::DeadlinePropagated, attempt.started, attempt.router, detail);
@@ -67,7 +67,7 @@
         let Some(received) = later.received else { continue };
         let is_in_flight = |earlier: &&Attempt| {
             let was_received_before = earlier.received.is_some_and(|before| before <= received);
-            was_received_before && earlier.ended() > received + OBSERVATION_DELAY
+            was_received_before && earlier.ended() > received + OBSERVATION_TOLERANCE
         };
         let earlier = request.attempts[..index].iter().find(is_in_flight);
         if let Some(earlier) = earlier {
@@ -92,7 +92,7 @@
         .iter()
         .filter(|attempt| run.workers.get(&attempt.worker).is_some_and(|worker| worker.role == Role::Decode))
         .collect();
-    let Some(first) = decode_attempts.iter().find(|attempt| attempt.may_have_had_effect()) else { return };
+    let Some(first) = decode_attempts.iter().find(|attempt| attempt.may_have_been_executed()) else { return };
     // Only an attempt that its worker received counts: the router cannot tell whether bytes that it wrote
     // to a socket were lost on the way.
     for later in decode_attempts.iter().filter(|attempt| attempt.started > first.started) {
@@ -130,7 +130,7 @@
                 .zip(run.workers.get(&later.worker))
                 .is_some_and(|(first, later)| is_same_scope(scope, first, later));
             let window_end = first.started + deployment.deduplication_window;
-            is_in_scope && received <= window_end + WINDOW_SLACK + OBSERVATION_DELAY
+            is_in_scope && received <= window_end + WINDOW_SLACK + OBSERVATION_TOLERANCE
         }
     }
 }
--- a/crates/fault-soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -1,6 +1,6 @@
 //! Checks that draining and removed workers get no new calls.
 
-use super::OBSERVATION_DELAY;
+use super::OBSERVATION_TOLERANCE;
 use super::observations::Observations;
 use super::verdict::{Findings, Invariant};
 use crate::deployment::Deployment;
@@ -78,7 +78,7 @@
             let known_by = discovery.withdrawal_known_by(attempt.router, attempt.worker, attempt.started);
             let Some(known_by) = known_by else { continue };
             let late_by = attempt.started.since(known_by);
-            if late_by > deployment.drain_grace + DRAIN_SLACK + OBSERVATION_DELAY {
+            if late_by > deployment.drain_grace + DRAIN_SLACK + OBSERVATION_TOLERANCE {
                 let detail = format!(
                     "attempt at worker {} {} ms after its withdrawal was known",
                     attempt.worker,
--- a/crates/fault-soak/src/oracle/mod.rs
+++ b/crates/fault-soak/src/oracle/mod.rs
@@ -24,8 +24,8 @@
 use std::time::Duration;
 use verdict::Findings;
 
-/// The delay with which the emulated fleet may observe an event in normal operation.
-const OBSERVATION_DELAY: Duration = Duration::from_millis(20);
+/// The tolerance for delays between an event and its observation by the emulated fleet in normal operation.
+const OBSERVATION_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// Checks the history of a run. The success rate has to be back to normal in `observation_window`, which
 /// follows the recovery period.
--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -87,7 +87,7 @@
 /// A worker's response to an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResponse {
-    /// When the worker had written it.
+    /// When the worker handed it to the network.
     pub at: Timestamp,
     /// The HTTP status code, or 0 if the worker closed the connection instead.
     pub status: u16,
@@ -123,7 +123,7 @@
 }
 
 impl Attempt {
-    /// When the attempt was no longer in flight.
+    /// The time until which the attempt was in flight, or [`Timestamp::MAX`] if it did not end.
     pub fn ended(&self) -> Timestamp {
         let answered = self.response.as_ref().map(|response| response.at);
         let ends = [answered, self.closed_by_router, self.closed_by_worker];
@@ -131,7 +131,7 @@
     }
 
     /// Whether the worker may have executed the request.
-    pub fn may_have_had_effect(&self) -> bool {
+    pub fn may_have_been_executed(&self) -> bool {
         self.received.is_some() && !self.response.as_ref().is_some_and(|response| response.had_no_effect)
     }
 }
--- a/crates/fault-soak/src/oracle/reservations.rs
+++ b/crates/fault-soak/src/oracle/reservations.rs
@@ -1,6 +1,6 @@
 //! Checks that reserved KV caches are fetched or released in time.
 
-use super::OBSERVATION_DELAY;
+use super::OBSERVATION_TOLERANCE;
 use super::observations::{Observations, Request, Reservation};
 use super::verdict::{Findings, Invariant};
 use crate::deployment::Deployment;
@@ -30,7 +30,7 @@
 ) {
     let end = request.reservation_ends.iter().copied().find(|end| *end >= reservation.at);
     let end = end.unwrap_or(Timestamp::MAX);
-    let limit = deployment.release_timeout + RELEASE_SLACK + OBSERVATION_DELAY;
+    let limit = deployment.release_timeout + RELEASE_SLACK + OBSERVATION_TOLERANCE;
     let longest = longest_idle_period(request, reservation.at, end);
     let Some(idle) = longest.filter(|idle| idle.length() > limit) else { return };
     let router = request.attempts.first().map_or(request.router, |attempt| attempt.router);
--- a/crates/fault-soak/src/oracle/responses.rs
+++ b/crates/fault-soak/src/oracle/responses.rs
@@ -1,6 +1,6 @@
 //! Checks the responses and streams that clients received.
 
-use super::OBSERVATION_DELAY;
+use super::OBSERVATION_TOLERANCE;
 use super::observations::{
     Attempt, ConnectionFailure, Incarnation, Observations, Request, RequestSent, Response, ResponseEnd,
 };
@@ -87,12 +87,12 @@
         let has_stopped_listening = terminated.is_some_and(|terminated| at > terminated + MIN_ACCEPT_TIME);
         // The load balancer sends new connections only to a process that is ready.
         let is_not_ready = incarnation.ready.is_none_or(|ready| at <= ready);
-        let was_killed = incarnation.killed.is_some_and(|killed| at + OBSERVATION_DELAY >= killed);
+        let was_killed = incarnation.killed.is_some_and(|killed| at + OBSERVATION_TOLERANCE >= killed);
         return has_stopped_listening || is_not_ready || was_killed;
     }
     // The previous process may have received the request, so only a kill before the connection failed
     // excuses it.
-    let killed = incarnation.killed.filter(|killed| at + OBSERVATION_DELAY >= *killed);
+    let killed = incarnation.killed.filter(|killed| at + OBSERVATION_TOLERANCE >= *killed);
     killed.is_some() && !was_sent_late(incarnation, sent)
 }
 
@@ -157,7 +157,7 @@
     end: &ResponseEnd,
 ) {
     let Some(incarnation) = run.incarnation(request.router, response.at) else { return };
-    let ended_by_kill = incarnation.killed.is_some_and(|killed| end.at + OBSERVATION_DELAY >= killed);
+    let ended_by_kill = incarnation.killed.is_some_and(|killed| end.at + OBSERVATION_TOLERANCE >= killed);
     if ended_by_kill && request.sent().is_some_and(|sent| was_sent_late(incarnation, sent)) {
         let detail = "accepted late in a shutdown and truncated by SIGKILL";
         findings.add_for(request, Invariant::StreamComplete, end.at, request.router, detail);
--- a/crates/fault-soak/src/oracle/slow_start.rs
+++ b/crates/fault-soak/src/oracle/slow_start.rs
@@ -78,7 +78,8 @@
         let slack = sampling_slack(budget);
         if count as f64 > budget + slack {
             let detail = format!(
-                "cold worker {} got {count} calls in a window from {} ms after its start; budget {budget:.1} + {slack:.1}",
+                "cold worker {} got {count} calls in a window from {} ms after its start; \
+                 budget {budget:.1} + {slack:.1}",
                 start.worker,
                 from.since(start.at).as_millis()
             );
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -102,7 +102,7 @@
 /// Draws all faults of the seed before it applies the filters of the options, so that a filter does not
 /// change the times and targets of the remaining faults.
 fn plan_faults(options: &Options, deployment: &Deployment, random: &mut StdRng) -> Vec<PlannedFault> {
-    let workers = deployment.prefill_workers + deployment.decode_workers;
+    let workers = deployment.prefill_worker_count + deployment.decode_worker_count;
     let mut plan = draw_plan(random, options.router_count, workers, options.fault_period);
     plan.retain(|planned| {
         let is_selected =
--- a/crates/fault-soak/src/testbed.rs
+++ b/crates/fault-soak/src/testbed.rs
@@ -64,9 +64,10 @@
             Router::new(index, address, directory, programs.clone(), history.clone())
                 .map_err(|error| SoakError::CreateControlBlock(index, error))
         };
-        let routers = (0..deployment.routers).map(new_router).collect::<Result<Vec<Router>, SoakError>>()?;
+        let routers =
+            (0..deployment.router_count).map(new_router).collect::<Result<Vec<Router>, SoakError>>()?;
         let load = Arc::new(Load::new(&deployment, network, &history));
-        let router_states = (0..deployment.routers).map(|_| RouterState::default()).collect();
+        let router_states = (0..deployment.router_count).map(|_| RouterState::default()).collect();
         Ok(Arc::new(Testbed { deployment, fleet, routers, load, router_states }))
     }
 
@@ -174,11 +175,15 @@
     deployment: &Deployment,
     history: &History,
 ) -> io::Result<Arc<Fleet>> {
-    let fleet =
-        Fleet::start(network, deployment.routers, deployment.scenario.endpoints_per_worker, history.clone())
-            .await?;
-    let roles = std::iter::repeat_n(Role::Prefill, deployment.prefill_workers)
-        .chain(std::iter::repeat_n(Role::Decode, deployment.decode_workers));
+    let fleet = Fleet::start(
+        network,
+        deployment.router_count,
+        deployment.scenario.endpoints_per_worker,
+        history.clone(),
+    )
+    .await?;
+    let roles = std::iter::repeat_n(Role::Prefill, deployment.prefill_worker_count)
+        .chain(std::iter::repeat_n(Role::Decode, deployment.decode_worker_count));
     for role in roles {
         fleet.add_worker(|index| deployment.worker_settings(index, role), false, Duration::ZERO)?;
     }
