--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -13,7 +13,7 @@
 /// Observations within this time of a harness delay are doubtful.
 const DOUBTFUL_MARGIN: Duration = Duration::from_millis(300);
 
-/// The completion of a request by its client.
+/// The end of the transmission of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSent {
     /// When the client wrote the last byte.
@@ -43,7 +43,7 @@
 pub struct Transmission {
     /// When the first byte was written.
     pub started: Timestamp,
-    /// The completion of the request, if its last byte was written.
+    /// The end of the transmission, if the last byte was written.
     pub sent: Option<RequestSent>,
     /// The number of earlier requests on the connection.
     pub prior_requests: u32,
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -51,7 +51,7 @@
     pub directory: PathBuf,
 }
 
-/// A finished run.
+/// The results of a run.
 pub struct FinishedRun {
     /// The seed of the run.
     pub seed: u64,
@@ -63,7 +63,7 @@
     pub observation_window: Range<Timestamp>,
 }
 
-/// Executes a run.
+/// Starts the fleet, injects the faults, observes the recovery and shuts the routers down.
 ///
 /// # Errors
 /// Returns an error if the fleet or a router can't be started.
