--- a/crates/fault-soak/src/faults/links.rs
+++ b/crates/fault-soak/src/faults/links.rs
@@ -1,6 +1,6 @@
 //! Faults of the network between routers and workers.
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::link::{LinkState, Reachability};
 use fleet_emulator::record::{RouterIndex, WorkerIndex};
 use std::time::Duration;
@@ -8,41 +8,41 @@
 /// A fault of the links to some workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkFault {
-    /// The workers.
+    /// The workers whose links are affected.
     pub workers: Vec<WorkerIndex>,
-    /// What happens to their links.
+    /// The kind of fault.
     pub kind: LinkFaultKind,
 }
 
-/// What happens to a link.
+/// The kinds of faults of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkFaultKind {
-    /// Nothing passes between the workers and some routers; open connections stay open.
+    /// No data passes between the workers and some routers, but open connections stay open.
     Partition {
-        /// The routers.
+        /// The routers on the other side of the partition.
         routers: Vec<RouterIndex>,
     },
     /// The links of all routers to the workers are degraded.
     Degrade(LinkDegradation),
 }
 
-/// How a link is degraded.
+/// The kinds of degradation of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDegradation {
-    /// Connections are reset under requests.
+    /// Connections are reset during requests.
     Resets,
-    /// Connections take long to establish.
+    /// Connections are established with a delay.
     ConnectDelay,
     /// Responses arrive in small fragments.
     Fragmentation,
     /// Idle connections are closed.
     IdleClose,
-    /// Idle connections are dropped silently: the next request is answered by a reset.
+    /// Idle connections are dropped silently: the next request gets a reset.
     IdleDrop,
 }
 
 impl LinkDegradation {
-    /// All of them, in the order from which the plan of a seed is drawn.
+    /// All variants. The plan that is drawn from a seed depends on their order.
     pub(super) const ALL: [LinkDegradation; 5] = [
         LinkDegradation::Resets,
         LinkDegradation::ConnectDelay,
@@ -82,22 +82,22 @@
 }
 
 impl LinkFault {
-    pub(super) fn inject(&self, world: &World) {
+    pub(super) fn inject(&self, testbed: &Testbed) {
         for worker in self.workers.iter().copied() {
             match &self.kind {
                 LinkFaultKind::Partition { routers } => {
                     let is_partitioned = |router| routers.contains(&router);
                     let partition = |link: &mut LinkState| link.reachability = Reachability::Unresponsive;
-                    world.fleet.update_links(worker, is_partitioned, partition);
+                    testbed.fleet.update_links(worker, is_partitioned, partition);
                 }
                 LinkFaultKind::Degrade(degradation) => {
-                    world.fleet.update_links(worker, |_| true, |link| degradation.apply(link));
+                    testbed.fleet.update_links(worker, |_| true, |link| degradation.apply(link));
                 }
             }
         }
     }
 
-    pub(super) fn revert(&self, world: &World) {
+    pub(super) fn revert(&self, testbed: &Testbed) {
         let repair: fn(&mut LinkState) = match self.kind {
             LinkFaultKind::Partition { .. } => |link| link.reachability = Reachability::Up,
             LinkFaultKind::Degrade(_) => |link| {
@@ -105,7 +105,7 @@
             },
         };
         for worker in self.workers.iter().copied() {
-            world.fleet.update_links(worker, |_| true, repair);
+            testbed.fleet.update_links(worker, |_| true, repair);
         }
     }
 }
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! The faults that a run injects, one module for each part of the world in which they strike.
+//! The faults that a run injects, one module for each kind of component that they affect.
 
 mod clients;
 mod discovery;
@@ -8,22 +8,22 @@
 mod routers;
 mod workers;
 
-pub use clients::{ClientFault, keep_crowded};
+pub use clients::{ClientFault, flood_with_idle_connections};
 pub use discovery::{DiscoveryFault, DiscoveryFaultKind};
 pub use links::{LinkDegradation, LinkFault, LinkFaultKind};
 pub use routers::{RouterFault, RouterFaultKind};
 pub use workers::{WorkerFault, WorkerFaultKind, WorkerMisbehaviour};
 
-use crate::world::World;
+use crate::testbed::Testbed;
 use fleet_emulator::record::Record;
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest time until discovery agents learn of a change at a worker, in milliseconds.
+/// The maximum delay until discovery agents learn of a change of a worker, in milliseconds.
 const MAX_DISCOVERY_DELAY_MS: u64 = 1_500;
 
-/// A fault.
+/// A fault that a run injects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// A fault of router processes or of their environment.
@@ -39,7 +39,7 @@
 }
 
 impl Fault {
-    /// The name of the kind of fault, without the routers and workers that it strikes.
+    /// The name of the kind of fault, without the affected routers and workers.
     pub fn name(&self) -> String {
         match self {
             Fault::Router(fault) => fault.kind.name(),
@@ -50,44 +50,44 @@
         }
     }
 
-    /// Whether the name of the fault, or a name that earlier versions of the soak gave it, contains a text.
-    pub fn is_named_like(&self, text: &str) -> bool {
+    /// Whether the current or the former name of the fault contains a text.
+    pub fn name_contains(&self, text: &str) -> bool {
         let name = self.name();
         name.contains(text) || names::former_name(&name).is_some_and(|former| former.contains(text))
     }
 
-    /// Injects the fault, reverts it after a time and records both. Some faults take a part of that time to unfold,
-    /// for instance when they strike one router after another; the time counts from the end of that.
-    pub async fn run(&self, world: &Arc<World>, duration: Duration) {
-        world.history().add(Record::FaultStarted { name: self.name() });
-        self.inject(world, duration).await;
+    /// Injects the fault, reverts it after `duration` and records both. The duration counts from the end of
+    /// the injection, which takes time itself if it affects one router or worker after another.
+    pub async fn run(&self, testbed: &Arc<Testbed>, duration: Duration) {
+        testbed.history().add(Record::FaultStarted { name: self.name() });
+        self.inject(testbed, duration).await;
         tokio::time::sleep(duration).await;
-        self.revert(world);
-        world.history().add(Record::FaultEnded { name: self.name() });
+        self.revert(testbed);
+        testbed.history().add(Record::FaultEnded { name: self.name() });
     }
 
-    async fn inject(&self, world: &Arc<World>, duration: Duration) {
+    async fn inject(&self, testbed: &Arc<Testbed>, duration: Duration) {
         match self {
-            Fault::Router(fault) => fault.inject(world, duration).await,
-            Fault::Discovery(fault) => fault.inject(world).await,
-            Fault::Worker(fault) => fault.inject(world, duration).await,
-            Fault::Link(fault) => fault.inject(world),
-            Fault::Client(fault) => fault.inject(world, duration),
+            Fault::Router(fault) => fault.inject(testbed, duration).await,
+            Fault::Discovery(fault) => fault.inject(testbed).await,
+            Fault::Worker(fault) => fault.inject(testbed, duration).await,
+            Fault::Link(fault) => fault.inject(testbed),
+            Fault::Client(fault) => fault.inject(testbed, duration),
         }
     }
 
-    fn revert(&self, world: &Arc<World>) {
+    fn revert(&self, testbed: &Arc<Testbed>) {
         match self {
-            Fault::Router(fault) => fault.revert(world),
-            Fault::Discovery(fault) => fault.revert(world),
-            Fault::Worker(fault) => fault.revert(world),
-            Fault::Link(fault) => fault.revert(world),
-            Fault::Client(fault) => fault.revert(world),
+            Fault::Router(fault) => fault.revert(testbed),
+            Fault::Discovery(fault) => fault.revert(testbed),
+            Fault::Worker(fault) => fault.revert(testbed),
+            Fault::Link(fault) => fault.revert(testbed),
+            Fault::Client(fault) => fault.revert(testbed),
         }
     }
 }
 
-/// Draws the time until discovery agents learn of a change at a worker.
+/// Draws the delay until discovery agents learn of a change of a worker.
 fn draw_discovery_delay() -> Duration {
     Duration::from_millis(rand::rng().random_range(0..MAX_DISCOVERY_DELAY_MS))
 }
