--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control block that a test harness shares with the fault shim of one process.
 //!
-//! The block is a small file of 64-bit little-endian words. The harness writes it with [`Control`]; the shim maps it
+//! The block is a small file of 64-bit little-endian words. The harness writes it with [`ControlBlock`]; the shim maps it
 //! into the process under test and reads it at each intercepted system call, so faults can be switched on and off while
 //! the process runs. This crate alone defines the layout of the block, and both sides depend on it.
 
@@ -101,11 +101,11 @@
 
 /// A control block, as the harness writes it.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlBlock {
     file: File,
 }
 
-impl Control {
+impl ControlBlock {
     /// Creates the file of a block in which all faults are off.
     ///
     /// # Errors
@@ -113,7 +113,7 @@
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; BLOCK_BYTES], 0)?;
-        Ok(Control { file })
+        Ok(ControlBlock { file })
     }
 
     /// Sets the probability of a fault, from 0 to 1. It replaces a period.
--- a/crates/fault-soak/src/router/mod.rs
+++ b/crates/fault-soak/src/router/mod.rs
@@ -5,7 +5,7 @@
 
 pub use log::{Log, LogLine};
 
-use fault_plan::{CONTROL_VARIABLE, Control};
+use fault_plan::{CONTROL_VARIABLE, ControlBlock};
 use fleet_emulator::history::History;
 use fleet_emulator::record::{Record, RouterIndex, RouterSignal};
 use fleet_emulator::sync::lock;
@@ -48,7 +48,7 @@
     /// The configuration file.
     pub configuration: PathBuf,
     /// The control block of the fault shim.
-    pub control: Control,
+    pub control: ControlBlock,
     /// The log of all processes.
     pub log: Log,
     control_file: PathBuf,
@@ -75,7 +75,7 @@
             index,
             address,
             configuration: folder.join(format!("router-{index}.json")),
-            control: Control::create(&control_file)?,
+            control: ControlBlock::create(&control_file)?,
             log: Log::default(),
             control_file,
             programs,
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -1,7 +1,7 @@
 //! The router with the fault shim loaded: system calls fail when the test says so.
 
 use super::RouterProcess;
-use fault_plan::{CONTROL_VARIABLE, Control, SystemCallFault};
+use fault_plan::{CONTROL_VARIABLE, ControlBlock, SystemCallFault};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
@@ -16,7 +16,7 @@
     /// The router.
     pub router: RouterProcess,
     /// Says which system calls fail.
-    pub control: Control,
+    pub control: ControlBlock,
     _control_file: ControlFile,
 }
 
@@ -48,9 +48,9 @@
     }
 }
 
-fn new_control() -> (Control, ControlFile) {
+fn new_control() -> (ControlBlock, ControlFile) {
     let control_file = ControlFile::new();
-    (Control::create(&control_file.0).unwrap(), control_file)
+    (ControlBlock::create(&control_file.0).unwrap(), control_file)
 }
 
 fn start_shimmed(operator_file: &str, control_file: &ControlFile) -> RouterProcess {
