--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 
 /// The environment variable with the path of a process's control file.
-pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
+pub const CONTROL_FILE_VARIABLE: &str = "FAULT_SHIM_CONTROL";
 /// The unit of probabilities in the block: the value that stands for a probability of 1.
 pub const PROBABILITY_SCALE: u64 = 1_000_000;
 /// The number of words in the block.
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,7 +1,8 @@
 //! The control block as the shim reads it. It is mapped into the process when the library is loaded.
 
 use fault_plan::{
-    BLOCK_BYTES, CONTROL_VARIABLE, PERIOD_FLAG, PROBABILITY_SCALE, SystemCallFault, WALL_CLOCK_WORD, WORDS,
+    BLOCK_BYTES, CONTROL_FILE_VARIABLE, PERIOD_FLAG, PROBABILITY_SCALE, SystemCallFault, WALL_CLOCK_WORD,
+    WORDS,
 };
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
@@ -31,7 +32,7 @@
 }
 
 fn map_block() -> Option<&'static Block> {
-    let path = CString::new(std::env::var_os(CONTROL_VARIABLE)?.as_bytes()).ok()?;
+    let path = CString::new(std::env::var_os(CONTROL_FILE_VARIABLE)?.as_bytes()).ok()?;
     // SAFETY: the path is a valid C string, and no other code uses the descriptor.
     let fd = unsafe { libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC) };
     if fd < 0 {
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -2,7 +2,7 @@
 //! that the Linux manual documents for the call.
 //!
 //! Which faults are injected follows from the control block of [`fault_plan`], whose path is in the environment variable
-//! [`fault_plan::CONTROL_VARIABLE`]. Without a block the library only forwards calls. Of all descriptors, faults affect
+//! [`fault_plan::CONTROL_FILE_VARIABLE`]. Without a block the library only forwards calls. Of all descriptors, faults affect
 //! IPv4 and IPv6 sockets, regular files and standard error alone.
 
 mod control;
--- a/crates/fault-soak/src/router/mod.rs
+++ b/crates/fault-soak/src/router/mod.rs
@@ -5,7 +5,7 @@
 
 pub use log::{Log, LogLine};
 
-use fault_plan::{CONTROL_VARIABLE, ControlBlock};
+use fault_plan::{CONTROL_FILE_VARIABLE, ControlBlock};
 use fleet_emulator::history::History;
 use fleet_emulator::record::{Record, RouterIndex, RouterSignal};
 use fleet_emulator::sync::lock;
@@ -113,7 +113,7 @@
             .env("NODE_NAME", format!("router-{}", self.index))
             .env("RUST_LOG", "debug")
             .env("LD_PRELOAD", &self.programs.shim)
-            .env(CONTROL_VARIABLE, &self.control_file)
+            .env(CONTROL_FILE_VARIABLE, &self.control_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -1,7 +1,7 @@
 //! The router with the fault shim loaded: system calls fail when the test says so.
 
 use super::RouterProcess;
-use fault_plan::{CONTROL_VARIABLE, ControlBlock, SystemCallFault};
+use fault_plan::{CONTROL_FILE_VARIABLE, ControlBlock, SystemCallFault};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
@@ -54,7 +54,7 @@
 }
 
 fn start_shimmed(operator_file: &str, control_file: &ControlFile) -> RouterProcess {
-    let environment = [("LD_PRELOAD", shim()), (CONTROL_VARIABLE, control_file.0.as_path())];
+    let environment = [("LD_PRELOAD", shim()), (CONTROL_FILE_VARIABLE, control_file.0.as_path())];
     RouterProcess::start_in(DESCRIPTORS, operator_file, &environment)
 }
 
