--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// The file can't be read.
-    pub fn count(&self, fault: SystemCallFault) -> io::Result<u64> {
+    pub fn injection_count(&self, fault: SystemCallFault) -> io::Result<u64> {
         let mut bytes = [0; WORD_BYTES];
         self.file.read_exact_at(&mut bytes, offset(fault.count_word()))?;
         Ok(u64::from_le_bytes(bytes))
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -37,7 +37,7 @@
         control.set_period(fault, 1).unwrap();
         let router = std::thread::scope(|scope| {
             scope.spawn(|| {
-                while control.count(fault).unwrap() == 0 {
+                while control.injection_count(fault).unwrap() == 0 {
                     std::thread::sleep(Duration::from_millis(5));
                 }
                 control.set_period(fault, 0).unwrap();
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -31,7 +31,7 @@
         shimmed.control.set_period(fault, 2).unwrap();
     }
     send_requests(&shimmed.router, 20);
-    assert!(shimmed.control.count(Fault::ReadInterrupted).unwrap() > 20);
+    assert!(shimmed.control.injection_count(Fault::ReadInterrupted).unwrap() > 20);
     let counters = shimmed.router.stop();
     assert_eq!(
         ["requests_received", "attempts_sent", "attempts_prefill_completed", "attempts_completed"]
@@ -62,7 +62,7 @@
         let (shimmed, _workers) = start_router();
         shimmed.control.set_period(fault, 2).unwrap();
         send_requests(&shimmed.router, 20);
-        assert!(shimmed.control.count(fault).unwrap() > 0);
+        assert!(shimmed.control.injection_count(fault).unwrap() > 0);
         let counters = shimmed.router.stop();
         let expected = [20, 40, 0, 0];
         let counted = ["requests_received", "attempts_sent", "attempts_connect_failed", "attempts_not_sent"]
