--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -14,9 +14,9 @@
 /// The unit of probabilities in the block: the value that stands for a probability of 1.
 pub const PROBABILITY_SCALE: u64 = 1_000_000;
 /// The number of words in the block.
-pub const WORDS: usize = 64;
+pub const BLOCK_WORDS: usize = 64;
 /// The size of the block in bytes.
-pub const BLOCK_BYTES: usize = WORDS * WORD_BYTES;
+pub const BLOCK_BYTES: usize = BLOCK_WORDS * WORD_BYTES;
 /// The word with the offset of the wall clock: a signed number of microseconds.
 pub const WALL_CLOCK_WORD: usize = 0;
 
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,15 +1,15 @@
 //! The control block as the shim reads it. It is mapped into the process when the library is loaded.
 
 use fault_plan::{
-    BLOCK_BYTES, CONTROL_FILE_VARIABLE, PERIOD_FLAG, PROBABILITY_SCALE, SystemCallFault, WALL_CLOCK_WORD,
-    WORDS,
+    BLOCK_BYTES, BLOCK_WORDS, CONTROL_FILE_VARIABLE, PERIOD_FLAG, PROBABILITY_SCALE, SystemCallFault,
+    WALL_CLOCK_WORD,
 };
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-type Block = [AtomicU64; WORDS];
+type Block = [AtomicU64; BLOCK_WORDS];
 
 static BLOCK: OnceLock<&'static Block> = OnceLock::new();
 /// For each fault: the number of calls so far that it applied to while it had a period.
