--- a/crates/fault-soak/src/faults/clients.rs
+++ b/crates/fault-soak/src/faults/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{LoadProfile, USUAL_DISCONNECT_SHARE};
 use crate::world::World;
-use fleet_emulator::misbehaving_client::{ClientMisbehaviour, send_misbehaving};
+use fleet_emulator::misbehaving_client::{ClientMisbehaviour, run_misbehaving_client};
 use fleet_emulator::record::RouterIndex;
 use rand::Rng;
 use std::sync::Arc;
@@ -85,7 +85,7 @@
 
 fn connect_misbehaving(world: &World, router: RouterIndex, misbehaviour: ClientMisbehaviour) {
     let address = world.routers[router].address;
-    tokio::spawn(send_misbehaving(router, address, misbehaviour, world.history().clone()));
+    tokio::spawn(run_misbehaving_client(router, address, misbehaviour, world.history().clone()));
 }
 
 async fn send_misbehaving_clients(world: Arc<World>, router: RouterIndex, duration: Duration) {
--- a/crates/fleet-emulator/src/misbehaving_client.rs
+++ b/crates/fleet-emulator/src/misbehaving_client.rs
@@ -114,7 +114,7 @@
 }
 
 /// Misbehaves on a connection of its own and records whether the router rejected it.
-pub async fn send_misbehaving(
+pub async fn run_misbehaving_client(
     router: RouterIndex,
     address: SocketAddr,
     misbehaviour: ClientMisbehaviour,
