--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -112,7 +112,7 @@
         for _ in 0..MAX_CLIENT_ATTEMPTS {
             // A client keeps using its own connection for as long as that stays open.
             let is_open = self.is_open[router].load(Ordering::Relaxed);
-            if !is_open && !self.clients[router].has_idle() {
+            if !is_open && !self.clients[router].has_idle_connection() {
                 return;
             }
             let behaviour = self.draw_behaviour(request.first_token_timeout);
--- a/crates/fleet-emulator/src/client/mod.rs
+++ b/crates/fleet-emulator/src/client/mod.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether there is an idle connection that can carry a request.
-    pub fn has_idle(&self) -> bool {
+    pub fn has_idle_connection(&self) -> bool {
         !lock(&self.idle).is_empty()
     }
 
