--- a/crates/fleet-emulator/src/agent/mod.rs
+++ b/crates/fleet-emulator/src/agent/mod.rs
@@ -23,7 +23,7 @@
 /// An agent that has moved closes its open connections after this time.
 const MOVED_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 /// The time from the stall of a watch until its router has to know of the changes that it missed.
-pub const SILENT_WATCH_ALLOWANCE: Duration = Duration::from_secs(6);
+pub const STALLED_WATCH_ALLOWANCE: Duration = Duration::from_secs(6);
 /// The time from the move of an agent until its router has to know of the changes that the new agent has.
 pub const MOVED_AGENT_ALLOWANCE: Duration = Duration::from_secs(4);
 /// The share of messages that are indented, which routers have to parse as well.
@@ -139,7 +139,7 @@
     pub fn stall_watches(&self) {
         let opened = *lock(&self.connections);
         self.history
-            .add(Record::DiscoveryDisturbed { router: self.router, allowance: SILENT_WATCH_ALLOWANCE });
+            .add(Record::DiscoveryDisturbed { router: self.router, allowance: STALLED_WATCH_ALLOWANCE });
         self.condition.send_modify(|condition| condition.stalled_up_to = opened);
     }
 
