--- a/crates/fault-soak/src/oracle/observations/builder.rs
+++ b/crates/fault-soak/src/oracle/observations/builder.rs
@@ -6,7 +6,7 @@
 };
 use fleet_emulator::clock::Timestamp;
 use fleet_emulator::history::Entry;
-use fleet_emulator::record::{CallKind, ConnectionNumber, Record, RequestId, RouterIndex, RouterSignal};
+use fleet_emulator::record::{CallKind, ConnectionId, Record, RequestId, RouterIndex, RouterSignal};
 use std::collections::HashMap;
 
 pub(super) fn build(entries: &[Entry]) -> Observations {
@@ -23,7 +23,7 @@
 struct Builder {
     observations: Observations,
     /// The request of the last attempt that each connection carried.
-    last_request: HashMap<ConnectionNumber, RequestId>,
+    last_request: HashMap<ConnectionId, RequestId>,
 }
 
 impl Builder {
@@ -142,7 +142,7 @@
     }
 
     /// The last attempt for a request that a connection carried.
-    fn attempt(&mut self, request: &RequestId, connection: ConnectionNumber) -> Option<&mut Attempt> {
+    fn attempt(&mut self, request: &RequestId, connection: ConnectionId) -> Option<&mut Attempt> {
         let attempts = &mut self.observations.requests.get_mut(request)?.attempts;
         attempts.iter_mut().rev().find(|attempt| attempt.connection == connection)
     }
--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -5,7 +5,7 @@
 use fleet_emulator::clock::Timestamp;
 use fleet_emulator::history::Entry;
 use fleet_emulator::record::{
-    ConnectionEnd, ConnectionNumber, Idempotency, RequestId, Role, RouterIndex, WorkerIndex,
+    ConnectionEnd, ConnectionId, Idempotency, RequestId, Role, RouterIndex, WorkerIndex,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The connection that carries the attempt.
-    pub connection: ConnectionNumber,
+    pub connection: ConnectionId,
     /// The router.
     pub router: RouterIndex,
     /// The worker.
--- a/crates/fleet-emulator/src/client/events.rs
+++ b/crates/fleet-emulator/src/client/events.rs
@@ -1,7 +1,7 @@
 //! The events of one streamed response, as its client receives them.
 
 use crate::clock::{self, Timestamp};
-use crate::record::{ConnectionNumber, RequestId};
+use crate::record::{ConnectionId, RequestId};
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     partial: Vec<u8>,
     count: u64,
     /// The connections of the attempts from which events came.
-    connections: HashSet<ConnectionNumber>,
+    connections: HashSet<ConnectionId>,
     is_done: bool,
     is_intact: bool,
     longest_delay: Duration,
@@ -76,7 +76,7 @@
             self.is_intact = false;
             return;
         };
-        self.connections.extend(connection.parse::<ConnectionNumber>());
+        self.connections.extend(connection.parse::<ConnectionId>());
         let is_next = number.parse() == Ok(self.count) && *request == *self.request;
         self.is_intact &= is_next && self.connections.len() == 1;
         self.count += 1;
--- a/crates/fleet-emulator/src/link/carrier.rs
+++ b/crates/fleet-emulator/src/link/carrier.rs
@@ -4,7 +4,7 @@
 use super::{Link, LinkState, Reachability};
 use crate::clock::{self, Timestamp};
 use crate::protocol::{classify, timeout};
-use crate::record::{ConnectionNumber, Record};
+use crate::record::{ConnectionId, Record};
 use rand::Rng;
 use std::io;
 use std::ops::ControlFlow;
@@ -33,7 +33,7 @@
 pub(super) struct Carrier<'a> {
     link: &'a Link,
     state: watch::Receiver<LinkState>,
-    connection: ConnectionNumber,
+    connection: ConnectionId,
     scanner: RequestScanner,
     /// The bytes that the router wrote and the worker has not got.
     undelivered: Vec<u8>,
@@ -51,7 +51,7 @@
     pub(super) fn new(
         link: &'a Link,
         state: watch::Receiver<LinkState>,
-        connection: ConnectionNumber,
+        connection: ConnectionId,
         first_byte_at: Option<Timestamp>,
     ) -> Self {
         Carrier {
--- a/crates/fleet-emulator/src/link/mod.rs
+++ b/crates/fleet-emulator/src/link/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::{self, Timestamp};
 use crate::history::History;
-use crate::record::{ConnectionNumber, Record, RouterIndex};
+use crate::record::{ConnectionId, Record, RouterIndex};
 use crate::worker::Worker;
 use carrier::{Carrier, End};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -138,7 +138,7 @@
 
     /// Carries one connection until a side ends it.
     async fn carry(self: Arc<Self>, stream: TcpStream) {
-        let connection: ConnectionNumber = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
+        let connection: ConnectionId = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
         let delay = self.state.borrow().connect_delay;
         let first_byte_at = if delay.is_zero() { None } else { delay_connection(&stream, delay).await };
         let _ = stream.set_nodelay(true);
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -10,7 +10,7 @@
 /// The position of a worker in the fleet, from 0.
 pub type WorkerIndex = usize;
 /// The number of a connection that a router opened to a worker, unique in a run.
-pub type ConnectionNumber = u64;
+pub type ConnectionId = u64;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -173,24 +173,24 @@
         /// The worker.
         worker: WorkerIndex,
         /// The connection that carries the call.
-        connection: ConnectionNumber,
+        connection: ConnectionId,
         /// The time limit that the router gave the worker, counted from the first byte of the call.
         propagated_timeout: Option<Duration>,
     },
     /// A router closed or reset a connection to a worker.
     ConnectionClosedByRouter {
         /// The connection.
-        connection: ConnectionNumber,
+        connection: ConnectionId,
     },
     /// A worker or the network closed or reset a connection.
     ConnectionClosedByWorker {
         /// The connection.
-        connection: ConnectionNumber,
+        connection: ConnectionId,
     },
     /// The network stopped delivering what the worker sends on an open connection.
     ConnectionStalled {
         /// The connection.
-        connection: ConnectionNumber,
+        connection: ConnectionId,
     },
     /// The last byte of a call reached a running worker.
     CallReceived {
@@ -201,7 +201,7 @@
         /// The worker.
         worker: WorkerIndex,
         /// The connection that carries the call.
-        connection: ConnectionNumber,
+        connection: ConnectionId,
     },
     /// A worker handed its response, or the end of its stream, to the network.
     CallCompleted {
@@ -210,7 +210,7 @@
         /// The worker.
         worker: WorkerIndex,
         /// The connection that carries the call.
-        connection: ConnectionNumber,
+        connection: ConnectionId,
         /// The status of the response, or 0 if the worker broke the connection instead.
         status: u16,
         /// Whether the response proves that the request was not executed.
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -3,7 +3,7 @@
 use super::{Misbehaviour, Worker};
 use crate::clock::{self, Timestamp};
 use crate::http::{ConnectionUse, chunk};
-use crate::record::{ConnectionNumber, Record, RequestId, Role};
+use crate::record::{ConnectionId, Record, RequestId, Role};
 use rand::Rng;
 use std::io;
 use std::sync::atomic::Ordering;
@@ -39,7 +39,7 @@
     pub(super) worker: &'a Worker,
     pub(super) output: &'a mut W,
     pub(super) request: RequestId,
-    pub(super) connection: ConnectionNumber,
+    pub(super) connection: ConnectionId,
     pub(super) misbehaviour: Misbehaviour,
 }
 
--- a/crates/fleet-emulator/src/worker/mod.rs
+++ b/crates/fleet-emulator/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::history::History;
 use crate::http::{ConnectionUse, Head, MessageReader};
 use crate::protocol::{classify, prompt_tokens, timeout};
-use crate::record::{CallKind, ConnectionNumber, Record, Role, WorkerIndex};
+use crate::record::{CallKind, ConnectionId, Record, Role, WorkerIndex};
 use crate::sync::lock;
 use exchange::{Exchange, RequestSize};
 use serde::Deserialize;
@@ -136,11 +136,7 @@
     }
 
     /// Serves a connection until it ends or the process crashes.
-    pub async fn serve(
-        self: Arc<Self>,
-        io: impl AsyncRead + AsyncWrite + Send,
-        connection: ConnectionNumber,
-    ) {
+    pub async fn serve(self: Arc<Self>, io: impl AsyncRead + AsyncWrite + Send, connection: ConnectionId) {
         let mut incarnation = self.incarnation.subscribe();
         incarnation.mark_unchanged();
         let (input, mut output) = tokio::io::split(io);
@@ -154,7 +150,7 @@
         &self,
         mut input: MessageReader<impl AsyncRead + Unpin>,
         output: &mut WriteHalf<impl AsyncRead + AsyncWrite>,
-        connection: ConnectionNumber,
+        connection: ConnectionId,
     ) -> io::Result<()> {
         loop {
             self.until_resumed().await;
@@ -179,7 +175,7 @@
         body: &[u8],
         input: &mut MessageReader<impl AsyncRead + Unpin>,
         output: &mut WriteHalf<impl AsyncRead + AsyncWrite>,
-        connection: ConnectionNumber,
+        connection: ConnectionId,
     ) -> io::Result<ConnectionUse> {
         let (call, request) = classify(head);
         let worker = self.settings.index;
