--- a/crates/fleet-emulator/src/worker/cache.rs
+++ b/crates/fleet-emulator/src/worker/cache.rs
@@ -1,19 +1,19 @@
-//! The KV caches that prefill workers have reserved for decode workers.
+//! Reservations of KV caches, which prefill workers hold for decode workers.
 
 use crate::record::{RequestId, WorkerIndex};
 use crate::sync::lock;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The reserved KV caches of a fleet. All clones share the same reservations.
+/// The KV cache reservations of a fleet. All clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct CacheReservations(Arc<Mutex<HashMap<RequestId, Reservation>>>);
 
 #[derive(Debug, Default)]
 struct Reservation {
-    /// The prefill worker that holds the cache; `None` while there is no cache.
+    /// The prefill worker that holds the cache; `None` before the cache exists and after its end.
     holder: Option<WorkerIndex>,
-    /// The number of attempts at decode workers that are about to fetch the cache.
+    /// The number of attempts in flight at decode workers that may still fetch the cache.
     claims: usize,
 }
 
@@ -22,7 +22,7 @@
         lock(&self.0)
     }
 
-    /// Reserves the cache of a request at a prefill worker.
+    /// Records that a prefill worker holds the cache of a request.
     pub(super) fn reserve(&self, request: &RequestId, worker: WorkerIndex) {
         self.reservations().entry(request.clone()).or_default().holder = Some(worker);
     }
@@ -32,21 +32,21 @@
         self.reservations().get_mut(request)?.holder.take()
     }
 
-    /// Releases a cache, unless an attempt has claimed it. Returns the worker that held it.
+    /// Releases a cache that no attempt has claimed. Returns the worker that held it.
     pub(super) fn release(&self, request: &RequestId) -> Option<WorkerIndex> {
         let mut reservations = self.reservations();
         let unclaimed = reservations.get_mut(request).filter(|reservation| reservation.claims == 0);
         unclaimed?.holder.take()
     }
 
-    /// Claims a cache for an attempt that has arrived at a decode worker, for as long as the claim exists.
+    /// Claims a cache for an attempt at a decode worker. The claim lasts until the returned guard is dropped.
     pub(super) fn claim(&self, request: &RequestId) -> Claim {
         self.reservations().entry(request.clone()).or_default().claims += 1;
         Claim { reservations: self.clone(), request: request.clone() }
     }
 
-    /// Ends all reservations at a worker that has crashed, and returns their requests.
-    pub(super) fn remove_all_at(&self, worker: WorkerIndex) -> Vec<RequestId> {
+    /// Removes all reservations of a crashed worker, and returns the requests that they belonged to.
+    pub(super) fn remove_all_of(&self, worker: WorkerIndex) -> Vec<RequestId> {
         let mut removed = Vec::new();
         for (request, reservation) in self.reservations().iter_mut() {
             if reservation.holder.take_if(|holder| *holder == worker).is_some() {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The claim of an attempt to a cache, which protects the cache from a release. It ends on drop.
+/// A guard that keeps a cache from being released while an attempt may still fetch it.
 pub(super) struct Claim {
     reservations: CacheReservations,
     request: RequestId,
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -1,4 +1,4 @@
-//! One call at a worker: its response, and how misbehaviour changes it.
+//! The handling of one call at a worker, with injected misbehaviour.
 
 use super::{Misbehaviour, Worker};
 use crate::clock::{self, Timestamp};
@@ -13,19 +13,19 @@
 /// The head of a streamed response.
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-/// The header by which a worker proves that it has not executed a request.
+/// The header of a response to a request that was not executed and may therefore be retried.
 const NOT_EXECUTED_HEADER: &str = "x-not-run: 1\r\n";
-/// The time for which a call that hangs occupies its slot.
-const HANG_TIME: Duration = Duration::from_secs(20);
-/// The largest number of events in a stream.
+/// A call that hangs occupies its slot for this time.
+const HANG_DURATION: Duration = Duration::from_secs(20);
+/// The largest number of content events in a stream.
 const MAX_EVENTS: u64 = 24;
-/// The number of tokens in an event.
+/// The number of output tokens that one event stands for.
 const TOKENS_PER_EVENT: u64 = 4;
-/// The size of a malformed response that never ends.
-const ENDLESS_BYTES: usize = 256 * 1024;
-/// An unsolicited response follows the first one within this time, which is shorter than the time for which routers
-/// leave a connection unused between two requests.
-const UNSOLICITED_RESPONSE_WITHIN: Duration = Duration::from_millis(15);
+/// The number of bytes that are sent of a malformed response that does not end.
+const UNTERMINATED_RESPONSE_BYTES: usize = 256 * 1024;
+/// The longest delay between a response and the unsolicited response after it. It is shorter than the time for which
+/// routers do not reuse a connection after a response.
+const MAX_UNSOLICITED_RESPONSE_DELAY: Duration = Duration::from_millis(15);
 
 /// The size of a request in tokens.
 #[derive(Clone, Copy)]
@@ -34,7 +34,7 @@
     pub(super) max_output_tokens: u64,
 }
 
-/// A call that is being served.
+/// A call in progress.
 pub(super) struct Exchange<'a, W> {
     pub(super) worker: &'a Worker,
     pub(super) output: &'a mut W,
@@ -43,12 +43,13 @@
     pub(super) misbehaviour: Misbehaviour,
 }
 
+/// Draws whether an event of this probability occurs.
 fn happens(probability: f64) -> bool {
     probability > 0.0 && rand::rng().random_bool(probability.min(1.0))
 }
 
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
-    /// Releases the KV cache of the request.
+    /// Serves a call that releases the KV cache of its request.
     pub(super) async fn serve_release(&mut self) -> io::Result<ConnectionUse> {
         if self.worker.reservations.release(&self.request).is_some() {
             self.record(Record::CacheReservationEnded { request: self.request.clone() });
@@ -60,7 +61,8 @@
         self.respond(404, "", "", true).await
     }
 
-    /// Serves an attempt, unless the worker has no capacity or the deadline passes before a slot is free.
+    /// Serves an attempt, or rejects it if the worker is draining or full, or if the deadline passes before a slot is
+    /// free.
     pub(super) async fn serve_attempt(
         &mut self,
         size: RequestSize,
@@ -78,7 +80,7 @@
             return self.reject(504).await;
         }
         if happens(self.misbehaviour.hang) {
-            tokio::time::sleep(HANG_TIME).await;
+            tokio::time::sleep(HANG_DURATION).await;
             return Ok(self.close());
         }
         if happens(self.misbehaviour.close_before_response) {
@@ -107,11 +109,11 @@
             return Ok(self.close());
         }
         let headers = "content-type: application/json\r\n";
-        let after = self.respond(202, headers, r#"{"cached_tokens":16}"#, true).await?;
+        let connection_use = self.respond(202, headers, r#"{"cached_tokens":16}"#, true).await?;
         if happens(self.misbehaviour.unsolicited_response) {
             self.respond_unsolicited().await?;
         }
-        Ok(after)
+        Ok(connection_use)
     }
 
     async fn decode(&mut self, max_output_tokens: u64) -> io::Result<ConnectionUse> {
@@ -125,10 +127,10 @@
             return self.respond_malformed().await;
         }
         let events = (max_output_tokens / TOKENS_PER_EVENT).clamp(1, MAX_EVENTS);
-        let closes_at =
+        let close_before =
             happens(self.misbehaviour.close_during_response).then(|| rand::rng().random_range(0..events));
         for event in 0..events {
-            if closes_at == Some(event) {
+            if close_before == Some(event) {
                 return Ok(self.close());
             }
             self.stream_event(event).await?;
@@ -136,7 +138,7 @@
         self.end_stream(events).await
     }
 
-    /// Writes one event of a stream, the first one together with the head of the response.
+    /// Writes one event of a stream, and before the first event the head of the response.
     async fn stream_event(&mut self, number: u64) -> io::Result<()> {
         let worker = self.worker;
         if number > 0 {
@@ -150,8 +152,8 @@
         self.write(&start).await
     }
 
-    /// An event that names its request, its attempt, its number in the stream and the current time, so that the client
-    /// can check all of them.
+    /// Encodes an event. Its content is the request id, the connection id, the number of the event and the current time,
+    /// all of which the client checks.
     fn event(&self, number: u64) -> String {
         let (request, connection, now) = (&self.request, self.connection, clock::now().as_micros());
         format!(
@@ -177,7 +179,7 @@
         Ok(ConnectionUse::Reuse)
     }
 
-    /// Sends a response with a body of known length.
+    /// Sends a complete response with a `content-length`.
     async fn respond(
         &mut self,
         status: u16,
@@ -192,34 +194,34 @@
         Ok(ConnectionUse::Reuse)
     }
 
-    /// Sends a response that proves that the request was not executed.
+    /// Sends a response that marks the request as not executed.
     async fn reject(&mut self, status: u16) -> io::Result<ConnectionUse> {
         self.respond(status, NOT_EXECUTED_HEADER, "", true).await
     }
 
-    /// Closes the connection instead of a response, or in the middle of it.
+    /// Records that the response is missing or truncated, and closes the connection.
     fn close(&self) -> ConnectionUse {
         self.record_completion(0, false, false);
         ConnectionUse::Close
     }
 
     async fn respond_unsolicited(&mut self) -> io::Result<()> {
-        let pause = rand::rng().random_range(Duration::ZERO..UNSOLICITED_RESPONSE_WITHIN);
-        tokio::time::sleep(pause).await;
+        let delay = rand::rng().random_range(Duration::ZERO..MAX_UNSOLICITED_RESPONSE_DELAY);
+        tokio::time::sleep(delay).await;
         self.write(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 12\r\n\r\ndata: no\n\n\r\n")
             .await
     }
 
-    /// Sends one of several responses that can't be parsed, and keeps the connection open for a while.
+    /// Sends one of four kinds of unparseable response, and closes the connection after [`HANG_DURATION`].
     async fn respond_malformed(&mut self) -> io::Result<ConnectionUse> {
         self.record_completion(0, false, false);
-        let form = rand::rng().random_range(0..4);
-        match form {
+        let variant = rand::rng().random_range(0..4);
+        match variant {
             0 => self.write(b"\x00\x01 what is this\r\n\r\n").await?,
             1 => {
-                let endless_header: Vec<u8> =
-                    b"x-filler: ".iter().copied().cycle().take(ENDLESS_BYTES).collect();
-                self.write(&endless_header).await?;
+                let unterminated_header: Vec<u8> =
+                    b"x-filler: ".iter().copied().cycle().take(UNTERMINATED_RESPONSE_BYTES).collect();
+                self.write(&unterminated_header).await?;
             }
             2 => {
                 self.write(STREAM_HEAD.as_bytes()).await?;
@@ -228,15 +230,15 @@
             _ => {
                 self.write(STREAM_HEAD.as_bytes()).await?;
                 self.write(b"c0000000\r\n").await?;
-                self.write(&vec![b'x'; ENDLESS_BYTES]).await?;
+                self.write(&vec![b'x'; UNTERMINATED_RESPONSE_BYTES]).await?;
             }
         }
-        tokio::time::sleep(HANG_TIME).await;
+        tokio::time::sleep(HANG_DURATION).await;
         Ok(ConnectionUse::Close)
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.worker.until_resumed().await;
+        self.worker.wait_until_resumed().await;
         self.output.write_all(bytes).await?;
         self.output.flush().await
     }
--- a/crates/fleet-emulator/src/worker/mod.rs
+++ b/crates/fleet-emulator/src/worker/mod.rs
@@ -1,4 +1,5 @@
-//! Workers. Prefill workers process prompts and reserve their KV caches; decode workers fetch these and stream responses.
+//! Emulated workers. Prefill workers process prompts and reserve their KV caches; decode workers fetch the caches and
+//! stream responses.
 
 mod cache;
 mod exchange;
@@ -31,40 +32,40 @@
     pub zone: u64,
     /// The cell of the worker.
     pub cell: u64,
-    /// The number of requests that the worker serves at once.
+    /// The number of requests that the worker serves concurrently.
     pub slots: usize,
-    /// The number of requests that may wait for a slot. More are rejected.
+    /// The number of requests that may wait for a slot. Requests beyond it are rejected.
     pub queue_capacity: usize,
-    /// The shortest time of a prefill, and of a decode until its first event.
+    /// The fixed part of a prefill's duration, and the time from the start of a decode to its first event.
     pub base_latency: Duration,
-    /// The prompt tokens that the worker processes per second.
+    /// The rate at which a prefill processes prompt tokens.
     pub prefill_tokens_per_second: u32,
-    /// The time between two events of a stream.
+    /// The interval between two events of a stream.
     pub event_interval: Duration,
 }
 
-/// How a worker misbehaves: the probability of each kind of misbehaviour per call, and a slowdown.
+/// The injected misbehaviour of a worker: the probability per call of each kind, from 0 to 1, and a slowdown factor.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Misbehaviour {
-    /// The worker responds 500.
+    /// The worker responds with status 500.
     pub error: f64,
-    /// The worker rejects the request although it has capacity.
+    /// The worker rejects the request despite free capacity.
     pub rejection: f64,
-    /// The worker closes the connection before its response.
+    /// The worker closes the connection before it sends a response.
     pub close_before_response: f64,
     /// The worker closes the connection in the middle of its response.
     pub close_during_response: f64,
     /// The worker never responds.
     pub hang: f64,
-    /// The response can't be parsed.
+    /// The worker sends a response that can't be parsed.
     pub malformed_response: f64,
-    /// The worker sends a second response that nobody asked for.
+    /// The worker sends a second, unsolicited response on the connection.
     pub unsolicited_response: f64,
-    /// The factor by which the worker is slower. Values below 1 count as 1.
+    /// The factor by which the worker's processing times grow. Values below 1 count as 1.
     pub slowdown: f64,
 }
 
-/// A worker. Its process can crash and be started again.
+/// An emulated worker. Its process can crash and be restarted.
 #[derive(Debug)]
 pub struct Worker {
     /// The properties and the capacity of the worker.
@@ -73,24 +74,24 @@
     reservations: CacheReservations,
     misbehaviour: Mutex<Misbehaviour>,
     is_draining: AtomicBool,
-    /// A permit for each request that is being served.
+    /// One permit for each request in service.
     slots: Semaphore,
-    /// A permit for each request that is being served or waits for a slot.
+    /// One permit for each request in service or waiting for a slot.
     queue: Semaphore,
-    /// The number of crashes. A connection ends with the process that accepted it.
+    /// The number of crashes so far. Each crash ends the connections that were accepted before it.
     incarnation: watch::Sender<u64>,
     is_frozen: watch::Sender<bool>,
 }
 
-/// The part of a request's body that matters to a worker.
+/// The fields of a request body that a worker reads.
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Body {
+struct RequestBody {
     max_tokens: u64,
 }
 
 impl Worker {
-    /// Creates a worker whose process runs.
+    /// Creates a worker with a running process.
     pub fn new(settings: WorkerSettings, reservations: CacheReservations, history: History) -> Arc<Self> {
         Arc::new(Worker {
             settings,
@@ -105,37 +106,38 @@
         })
     }
 
-    /// Sets how the worker misbehaves in calls that arrive from now on.
+    /// Sets the misbehaviour for calls that arrive from now on.
     pub fn set_misbehaviour(&self, misbehaviour: Misbehaviour) {
         *lock(&self.misbehaviour) = misbehaviour;
     }
 
-    /// Sets whether the worker rejects all new calls.
+    /// Sets whether the worker rejects new attempts.
     pub fn set_draining(&self, is_draining: bool) {
         self.is_draining.store(is_draining, Ordering::Relaxed);
     }
 
-    /// Suspends or resumes the process as SIGSTOP and SIGCONT do. Its machine still accepts connections and bytes.
+    /// Freezes or resumes the process, as SIGSTOP and SIGCONT do. The kernel of its host still accepts connections and
+    /// buffers received data.
     pub fn set_frozen(&self, is_frozen: bool) {
         self.is_frozen.send_replace(is_frozen);
     }
 
-    /// Crashes the process: its connections break and its reservations are lost.
+    /// Crashes the process: its connections close and its reservations are lost.
     pub fn crash(&self) {
         self.incarnation.send_modify(|incarnation| *incarnation += 1);
         self.history.add(Record::WorkerCrashed { worker: self.settings.index });
-        for request in self.reservations.remove_all_at(self.settings.index) {
+        for request in self.reservations.remove_all_of(self.settings.index) {
             self.history.add(Record::CacheReservationEnded { request });
         }
     }
 
-    /// Records that the process has started.
+    /// Records the start of the process. A cold process has yet to warm up.
     pub fn record_start(&self, is_cold: bool) {
         let WorkerSettings { index: worker, role, zone, cell, .. } = self.settings;
         self.history.add(Record::WorkerStarted { worker, role, zone, cell, is_cold });
     }
 
-    /// Serves a connection until it ends or the process crashes.
+    /// Serves a connection until it closes or the process crashes.
     pub async fn serve(self: Arc<Self>, io: impl AsyncRead + AsyncWrite + Send, connection: ConnectionId) {
         let mut incarnation = self.incarnation.subscribe();
         incarnation.mark_unchanged();
@@ -153,19 +155,19 @@
         connection: ConnectionId,
     ) -> io::Result<()> {
         loop {
-            self.until_resumed().await;
+            self.wait_until_resumed().await;
             let Some(head) = input.read_request().await? else { return Ok(()) };
             let body = input.read_body(head.content_length()).await?;
-            self.until_resumed().await;
-            let after = self.serve_call(&head, &body, &mut input, output, connection).await?;
-            if after == ConnectionUse::Close {
+            self.wait_until_resumed().await;
+            let connection_use = self.serve_call(&head, &body, &mut input, output, connection).await?;
+            if connection_use == ConnectionUse::Close {
                 return Ok(());
             }
         }
     }
 
-    /// Waits until the process is not suspended.
-    async fn until_resumed(&self) {
+    /// Waits while the process is frozen.
+    async fn wait_until_resumed(&self) {
         let _ = self.is_frozen.subscribe().wait_for(|is_frozen| !is_frozen).await;
     }
 
@@ -187,20 +189,20 @@
             CallKind::Other => exchange.respond_not_found().await,
             CallKind::Attempt => {
                 let deadline = timeout(head).map_or(Timestamp::MAX, |timeout| clock::now() + timeout);
-                let body: Body = serde_json::from_slice(body).unwrap_or_default();
+                let body: RequestBody = serde_json::from_slice(body).unwrap_or_default();
                 let size =
                     RequestSize { prompt_tokens: prompt_tokens(head), max_output_tokens: body.max_tokens };
                 tokio::select! {
-                    after = exchange.serve_attempt(size, deadline) => after,
-                    // The router has closed the connection, so a wait for a slot or an unread stream ends.
+                    connection_use = exchange.serve_attempt(size, deadline) => connection_use,
+                    // The router has closed the connection, which cancels the attempt, also while it waits for a slot.
                     _ = input.fill() => Ok(ConnectionUse::Close),
                 }
             }
         }
     }
 
-    /// A time span, extended by the slowdown of a misbehaving worker.
-    fn slowed(&self, time: Duration, misbehaviour: &Misbehaviour) -> Duration {
-        time.mul_f64(misbehaviour.slowdown.max(1.0))
+    /// Multiplies a processing time by the slowdown factor of a misbehaving worker.
+    fn slowed(&self, duration: Duration, misbehaviour: &Misbehaviour) -> Duration {
+        duration.mul_f64(misbehaviour.slowdown.max(1.0))
     }
 }
--- a/crates/fleet-emulator/tests/link.rs
+++ b/crates/fleet-emulator/tests/link.rs
@@ -1,4 +1,4 @@
-//! What links record of the calls that they carry.
+//! The records that links add of the calls that they forward.
 
 use fleet_emulator::clock;
 use fleet_emulator::history::History;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// An address whose ports no other test is given.
+/// A loopback address that no other test listens on.
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
 const CONNECT_DELAY: Duration = Duration::from_millis(300);
 const ATTEMPT: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nx-request-id: q\r\nx-deadline: 5000m\r\ncontent-length: 0\r\n\r\n";
@@ -30,9 +30,10 @@
     Worker::new(settings, CacheReservations::default(), history.clone())
 }
 
-/// Guards against a router that is blamed for the time that a link takes to carry what it wrote.
+/// Guards against link delays that are attributed to the router: the start of a call is the time at which the router
+/// wrote it, not the time at which a delayed link forwards it.
 #[tokio::test]
-async fn a_call_starts_when_the_router_writes_it_also_on_a_delayed_link() {
+async fn the_start_of_a_call_on_a_delayed_link_is_its_first_write_by_the_router() {
     let free = TcpListener::bind(SocketAddr::from((ADDRESS, 0))).unwrap();
     let address = free.local_addr().unwrap();
     drop(free);
@@ -40,13 +41,13 @@
     let link = Link::start(address, 0, worker(&history), history.clone()).unwrap();
     link.update(|state| state.connect_delay = CONNECT_DELAY);
     let mut stream = TcpStream::connect(address).await.unwrap();
-    let written = clock::now();
+    let write_time = clock::now();
     stream.write_all(ATTEMPT).await.unwrap();
     stream.read_u8().await.unwrap();
-    let answered = clock::now();
+    let response_time = clock::now();
     let entries = history.entries();
     let is_start = |record: &Record| matches!(record, Record::CallStarted { .. });
     let started = entries.iter().find(|entry| is_start(&entry.record)).unwrap().at;
-    assert!(answered.since(written) >= CONNECT_DELAY);
-    assert!(started.since(written) < CONNECT_DELAY / 2, "{:?}", started.since(written));
+    assert!(response_time.since(write_time) >= CONNECT_DELAY);
+    assert!(started.since(write_time) < CONNECT_DELAY / 2, "{:?}", started.since(write_time));
 }
--- a/crates/fleet-emulator/tests/worker.rs
+++ b/crates/fleet-emulator/tests/worker.rs
@@ -1,4 +1,4 @@
-//! How workers reserve, fetch and release KV caches, over connections in memory.
+//! Reservation, fetch and release of KV caches by workers, over in-memory connections.
 
 use fleet_emulator::history::History;
 use fleet_emulator::http::MessageReader;
@@ -34,7 +34,7 @@
     }
 }
 
-/// A prefill worker and a decode worker of the same fleet, and its history.
+/// A prefill worker and a decode worker that share reservations, and their history.
 fn workers() -> (Arc<Worker>, Arc<Worker>, History) {
     let (reservations, history) = (CacheReservations::default(), History::default());
     let worker = |index, role| {
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_decode_worker_fetches_a_cache_once() {
+async fn a_cache_can_be_fetched_only_once() {
     let (prefill, decode, _) = workers();
     assert_eq!(Connection::to(&decode, 1).call(ATTEMPT).await, 410);
     assert_eq!(Connection::to(&prefill, 2).call(ATTEMPT).await, 202);
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn any_worker_releases_a_cache_that_no_attempt_has_claimed() {
+async fn a_release_at_any_worker_frees_an_unclaimed_cache() {
     let (prefill, decode, history) = workers();
     assert_eq!(Connection::to(&prefill, 1).call(ATTEMPT).await, 202);
     assert_eq!(Connection::to(&decode, 2).call(RELEASE).await, 204);
