--- a/crates/fleet-emulator/src/agent/endpoints.rs
+++ b/crates/fleet-emulator/src/agent/endpoints.rs
@@ -1,26 +1,26 @@
-//! The endpoint list of a discovery agent, and its messages on the wire.
+//! The endpoint list of a discovery agent, and the messages that carry it.
 
 use crate::record::WorkerIndex;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Whether a worker accepts new work.
+/// The health of a worker, which decides whether routers may send it new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// It does.
+    /// Accepts new work.
     Ready,
-    /// It only completes the work that it has.
+    /// Completes its work in progress and accepts no more.
     Draining,
-    /// It no longer exists.
+    /// No longer exists. Snapshots omit the worker, deltas report it.
     Gone,
 }
 
-/// A worker as the list has it. The names on the wire are those of the discovery protocol.
+/// An entry of the endpoint list. The serialized names are those of the discovery protocol.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
-    /// The name of the worker.
+    /// The name by which routers identify the worker.
     #[serde(rename = "host")]
     pub name: String,
     /// The address at which the router reaches the worker.
@@ -29,23 +29,23 @@
     /// The zone of the worker.
     #[serde(rename = "site")]
     pub zone: String,
-    /// The role of the worker.
+    /// The role of the worker, `prefill` or `decode`.
     #[serde(rename = "class")]
     pub role: String,
     /// The cell of the worker.
     #[serde(rename = "block")]
     pub cell: u64,
-    /// Whether the worker accepts new work.
+    /// The health of the worker.
     pub health: Health,
-    /// The capacity of the worker, relative to others.
+    /// The capacity of the worker, relative to that of other workers.
     #[serde(rename = "share")]
     pub relative_capacity: f64,
-    /// When the process of the worker started, in milliseconds since 1970; 0 for long ago.
+    /// The start of the worker's process in milliseconds since the Unix epoch, or 0 if it started long ago.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
 }
 
-/// A message with all endpoints or with those that changed.
+/// A snapshot of the endpoint list, or a delta with the endpoints that changed.
 #[derive(Debug, Serialize)]
 pub struct EndpointMessage {
     #[serde(rename = "seq")]
@@ -56,7 +56,7 @@
     pub(super) endpoints: Vec<Endpoint>,
 }
 
-/// An endpoint and the version of the list in which it last changed.
+/// An endpoint and the version of the list that last changed it.
 #[derive(Clone, Debug)]
 struct VersionedEndpoint {
     changed_in: u64,
@@ -66,29 +66,29 @@
 /// The endpoint list of one agent.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointList {
-    /// The number of changes so far.
+    /// The number of updates so far.
     version: u64,
-    /// By worker, then by the number of the name under which it is listed.
+    /// By worker, then by the position among the entries of that worker.
     endpoints: BTreeMap<(WorkerIndex, usize), VersionedEndpoint>,
 }
 
 impl EndpointList {
-    /// Replaces the entries of a worker, one for each of its names.
+    /// Replaces the entries of a worker, of which there is one per name of the worker.
     pub(super) fn update(&mut self, worker: WorkerIndex, entries: Vec<Endpoint>) {
         self.version += 1;
-        for (number, endpoint) in entries.into_iter().enumerate() {
+        for (position, endpoint) in entries.into_iter().enumerate() {
             let versioned = VersionedEndpoint { changed_in: self.version, endpoint };
-            self.endpoints.insert((worker, number), versioned);
+            self.endpoints.insert((worker, position), versioned);
         }
     }
 
-    /// All endpoints that still exist.
+    /// A snapshot with all endpoints that still exist.
     pub(super) fn snapshot(&self) -> EndpointMessage {
         self.message(true, |versioned| versioned.endpoint.health != Health::Gone)
     }
 
-    /// The endpoints that changed after a version, or all if the version is not one of this list.
-    pub(super) fn changes_after(&self, version: u64) -> EndpointMessage {
+    /// A delta with the endpoints that changed after a version, or a snapshot if the list has not reached that version.
+    pub(super) fn delta_since(&self, version: u64) -> EndpointMessage {
         if version > self.version {
             return self.snapshot();
         }
--- a/crates/fleet-emulator/src/agent/mod.rs
+++ b/crates/fleet-emulator/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The discovery agent of one router: it serves the endpoint list and watches of its changes.
+//! The discovery agent of one router, which serves the endpoint list and watches of it over HTTP.
 
 mod endpoints;
 
@@ -18,31 +18,31 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The interval of empty lines on a watch without changes.
+/// The interval of heartbeats, which are empty lines, on a watch without changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// An agent that has moved closes its open connections after this time.
-const MOVED_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
-/// The time from the stall of a watch until its router has to know of the changes that it missed.
+/// The time from the move of an agent until it closes the connections to its old address.
+const CLOSE_DELAY_AFTER_MOVE: Duration = Duration::from_millis(1_500);
+/// The time that a router has to learn the changes missed on a stalled watch, counted from the stall.
 pub const STALLED_WATCH_ALLOWANCE: Duration = Duration::from_secs(6);
-/// The time from the move of an agent until its router has to know of the changes that the new agent has.
+/// The time that a router has to learn the endpoint list of a moved agent, counted from the move.
 pub const MOVED_AGENT_ALLOWANCE: Duration = Duration::from_secs(4);
-/// The share of messages that are indented, which routers have to parse as well.
-const INDENTED_SHARE: f64 = 0.2;
+/// The share of messages that are indented JSON, so that routers are tested with both forms.
+const INDENTED_MESSAGE_SHARE: f64 = 0.2;
 
-/// The state of an agent that its connections follow.
+/// The state of an agent, which the tasks of its connections observe.
 #[derive(Clone, Copy, Debug, Default)]
-struct Condition {
-    /// Whether the agent sends nothing.
+struct AgentState {
+    /// Whether the agent sends no data.
     is_unavailable: bool,
-    /// The number of the last connection that has stalled.
+    /// Connections up to this number are stalled.
     stalled_up_to: u64,
-    /// The number of the last connection that is reset.
+    /// Connections up to this number are reset.
     reset_up_to: u64,
-    /// The time that a response takes.
+    /// The delay before each response.
     response_delay: Duration,
-    /// The number of changes of the endpoint list.
+    /// The number of updates of the endpoint list.
     version: u64,
-    /// The number of moves to another address.
+    /// The number of moves to another address so far.
     moves: u64,
 }
 
@@ -52,15 +52,15 @@
     router: RouterIndex,
     history: History,
     endpoints: Mutex<EndpointList>,
-    /// The updates that an unavailable agent receives as soon as it is available again.
-    pending: Mutex<Vec<(WorkerIndex, Vec<Endpoint>)>>,
-    condition: watch::Sender<Condition>,
-    /// The number of connections so far.
-    connections: Mutex<u64>,
+    /// The updates that arrived while the agent was unavailable, which it applies as soon as it is available.
+    deferred_updates: Mutex<Vec<(WorkerIndex, Vec<Endpoint>)>>,
+    state: watch::Sender<AgentState>,
+    /// The number of connections accepted so far.
+    accepted_connections: Mutex<u64>,
 }
 
 impl Agent {
-    /// Starts an agent that listens at an address.
+    /// Starts an agent that listens on an address.
     ///
     /// # Errors
     /// The address is in use.
@@ -69,32 +69,33 @@
             router,
             history,
             endpoints: Mutex::default(),
-            pending: Mutex::default(),
-            condition: watch::Sender::default(),
-            connections: Mutex::default(),
+            deferred_updates: Mutex::default(),
+            state: watch::Sender::default(),
+            accepted_connections: Mutex::default(),
         });
         agent.clone().listen(address).await?;
         Ok(agent)
     }
 
-    /// Moves to another address. At the old one, no new connections are accepted and open ones are closed soon.
+    /// Moves the agent to another address. It accepts no more connections on the old one and closes the open ones after
+    /// a delay.
     ///
     /// # Errors
     /// The address is in use.
     pub async fn move_to(self: Arc<Self>, address: SocketAddr) -> io::Result<()> {
-        self.condition.send_modify(|condition| condition.moves += 1);
+        self.state.send_modify(|state| state.moves += 1);
         self.listen(address).await
     }
 
-    /// Accepts connections at an address until the agent moves away.
+    /// Accepts connections on an address until the agent moves.
     async fn listen(self: Arc<Self>, address: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(address).await?;
-        let mut condition = self.condition.subscribe();
-        let moves = condition.borrow_and_update().moves;
+        let mut state = self.state.subscribe();
+        let moves = state.borrow_and_update().moves;
         tokio::spawn(async move {
             loop {
                 tokio::select! {
-                    _ = condition.wait_for(|now| now.moves != moves) => return,
+                    _ = state.wait_for(|state| state.moves != moves) => return,
                     accepted = listener.accept() => {
                         let Ok((stream, _)) = accepted else { continue };
                         tokio::spawn(self.clone().serve(stream, moves));
@@ -105,16 +106,16 @@
         Ok(())
     }
 
-    /// All endpoints that the agent knows, as they stand in a router's configuration.
+    /// A snapshot of the endpoint list, in the form in which a router's configuration contains it too.
     pub fn snapshot(&self) -> EndpointMessage {
         lock(&self.endpoints).snapshot()
     }
 
-    /// Updates the entries of a worker, or, while the agent is unavailable, as soon as it is available again. The first
-    /// entry is the worker's own; the others are further names of it.
+    /// Updates the entries of a worker. An unavailable agent defers the update until it is available. The first entry is
+    /// the primary one of the worker; the others list it under additional names.
     pub fn update(&self, worker: WorkerIndex, entries: Vec<Endpoint>) {
-        if self.condition.borrow().is_unavailable {
-            lock(&self.pending).push((worker, entries));
+        if self.state.borrow().is_unavailable {
+            lock(&self.deferred_updates).push((worker, entries));
             return;
         }
         let router = self.router;
@@ -122,69 +123,69 @@
         lock(&self.endpoints).update(worker, entries);
         let withdrawn = Record::WorkerWithdrawn { router, worker };
         self.history.add(if is_ready { Record::WorkerInService { router, worker } } else { withdrawn });
-        self.condition.send_modify(|condition| condition.version += 1);
+        self.state.send_modify(|state| state.version += 1);
     }
 
-    /// Makes the agent unavailable or available: an unavailable one sends nothing and receives no updates.
+    /// Makes the agent unavailable or available. While unavailable, it sends no data and defers updates.
     pub fn set_unavailable(&self, is_unavailable: bool) {
-        self.condition.send_modify(|condition| condition.is_unavailable = is_unavailable);
+        self.state.send_modify(|state| state.is_unavailable = is_unavailable);
         if !is_unavailable {
-            for (worker, entries) in std::mem::take(&mut *lock(&self.pending)) {
+            for (worker, entries) in std::mem::take(&mut *lock(&self.deferred_updates)) {
                 self.update(worker, entries);
             }
         }
     }
 
-    /// Stalls the open connections: nothing more is sent on them, and they stay open.
+    /// Stalls the open connections: they stay open, but no more data is sent on them.
     pub fn stall_watches(&self) {
-        let opened = *lock(&self.connections);
+        let last_connection = *lock(&self.accepted_connections);
         self.history
             .add(Record::DiscoveryDisturbed { router: self.router, allowance: STALLED_WATCH_ALLOWANCE });
-        self.condition.send_modify(|condition| condition.stalled_up_to = opened);
+        self.state.send_modify(|state| state.stalled_up_to = last_connection);
     }
 
     /// Resets the open connections.
     pub fn reset_watches(&self) {
-        let opened = *lock(&self.connections);
-        self.condition.send_modify(|condition| condition.reset_up_to = opened);
+        let last_connection = *lock(&self.accepted_connections);
+        self.state.send_modify(|state| state.reset_up_to = last_connection);
     }
 
-    /// Sets the time that a response takes.
+    /// Sets the delay before each response.
     pub fn set_response_delay(&self, delay: Duration) {
-        self.condition.send_modify(|condition| condition.response_delay = delay);
+        self.state.send_modify(|state| state.response_delay = delay);
     }
 
-    /// Serves a connection until it ends, is reset or the agent has moved away.
+    /// Serves a connection until it closes, is reset, or the agent has moved.
     async fn serve(self: Arc<Self>, stream: TcpStream, moves: u64) {
-        let connection = self.next_connection();
+        let connection = self.next_connection_number();
         let _ = stream.set_nodelay(true);
         let (input, output) = stream.into_split();
         tokio::select! {
-            () = self.until_reset(connection) => {}
-            () = self.until_moved_away(moves) => {}
+            () = self.wait_for_reset(connection) => {}
+            () = self.wait_to_close_after_move(moves) => {}
             _ = self.serve_calls(MessageReader::new(input), output, connection) => {}
         }
     }
 
-    fn next_connection(&self) -> u64 {
-        let mut connections = lock(&self.connections);
-        *connections += 1;
-        *connections
+    fn next_connection_number(&self) -> u64 {
+        let mut accepted = lock(&self.accepted_connections);
+        *accepted += 1;
+        *accepted
     }
 
-    async fn until_reset(&self, connection: u64) {
-        let _ = self.condition.subscribe().wait_for(|now| connection <= now.reset_up_to).await;
+    async fn wait_for_reset(&self, connection: u64) {
+        let _ = self.state.subscribe().wait_for(|state| connection <= state.reset_up_to).await;
     }
 
-    async fn until_moved_away(&self, moves: u64) {
-        let _ = self.condition.subscribe().wait_for(|now| now.moves != moves).await;
-        tokio::time::sleep(MOVED_CLOSE_DELAY).await;
+    async fn wait_to_close_after_move(&self, moves: u64) {
+        let _ = self.state.subscribe().wait_for(|state| state.moves != moves).await;
+        tokio::time::sleep(CLOSE_DELAY_AFTER_MOVE).await;
     }
 
-    /// Waits until the agent may send on a connection.
-    async fn until_sending(&self, connection: u64) {
-        let may_send = |now: &Condition| !now.is_unavailable && connection > now.stalled_up_to;
-        let _ = self.condition.subscribe().wait_for(may_send).await;
+    /// Waits while the agent is unavailable or the connection is stalled.
+    async fn wait_until_sendable(&self, connection: u64) {
+        let may_send = |state: &AgentState| !state.is_unavailable && connection > state.stalled_up_to;
+        let _ = self.state.subscribe().wait_for(may_send).await;
     }
 
     async fn serve_calls(
@@ -194,9 +195,9 @@
         connection: u64,
     ) -> io::Result<()> {
         while let Some(head) = input.read_request().await? {
-            let delay = self.condition.borrow().response_delay;
+            let delay = self.state.borrow().response_delay;
             tokio::time::sleep(delay).await;
-            self.until_sending(connection).await;
+            self.wait_until_sendable(connection).await;
             if let Some(version) = watched_version(&head) {
                 return self.serve_watch(version, &mut output, connection).await;
             }
@@ -207,39 +208,39 @@
         Ok(())
     }
 
-    /// Streams the changes after a version, and heartbeats while there are none.
+    /// Streams the changes since a version, and heartbeats while there are none.
     async fn serve_watch(
         &self,
         version: u64,
         output: &mut (impl AsyncWrite + Unpin),
         connection: u64,
     ) -> io::Result<()> {
-        let mut condition = self.condition.subscribe();
+        let mut state = self.state.subscribe();
         output.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").await?;
         let mut sent_version = version;
         loop {
-            condition.mark_unchanged();
-            let message = lock(&self.endpoints).changes_after(sent_version);
+            state.mark_unchanged();
+            let message = lock(&self.endpoints).delta_since(sent_version);
             if !message.endpoints.is_empty() || message.is_snapshot {
                 sent_version = message.version;
-                self.until_sending(connection).await;
+                self.wait_until_sendable(connection).await;
                 write_in_two_chunks(output, &format!("{}\n", encode(&message))).await?;
             }
             tokio::select! {
-                _ = condition.changed() => {}
+                _ = state.changed() => {}
                 () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {
-                    self.until_sending(connection).await;
+                    self.wait_until_sendable(connection).await;
                     output.write_all(&chunk("\n")).await?;
                 }
             }
-            self.until_sending(connection).await;
+            self.wait_until_sendable(connection).await;
         }
     }
 }
 
-/// Encodes a message as JSON, indented or not.
+/// Encodes a message as JSON, which is indented at random.
 fn encode(message: &EndpointMessage) -> String {
-    let text = if rand::rng().random_bool(INDENTED_SHARE) {
+    let text = if rand::rng().random_bool(INDENTED_MESSAGE_SHARE) {
         serde_json::to_string_pretty(message)
     } else {
         serde_json::to_string(message)
@@ -247,11 +248,11 @@
     text.unwrap_or_default()
 }
 
-/// Writes a text in two chunks, so that routers can't rely on one chunk for each message.
-async fn write_in_two_chunks(output: &mut (impl AsyncWrite + Unpin), text: &str) -> io::Result<()> {
-    let cut = rand::rng().random_range(0..text.len());
-    let cut = (0..=cut).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
-    for piece in [&text[..cut], &text[cut..]] {
+/// Writes a message in two chunks, because routers must not rely on one chunk per message.
+async fn write_in_two_chunks(output: &mut (impl AsyncWrite + Unpin), message: &str) -> io::Result<()> {
+    let split = rand::rng().random_range(0..message.len());
+    let split = (0..=split).rev().find(|at| message.is_char_boundary(*at)).unwrap_or(0);
+    for piece in [&message[..split], &message[split..]] {
         if !piece.is_empty() {
             output.write_all(&chunk(piece)).await?;
             output.flush().await?;
@@ -260,7 +261,7 @@
     Ok(())
 }
 
-/// The version whose later changes a call wants to watch; `None` for a call that wants the whole list.
+/// The version from which a call watches the list, or `None` if the call asks for a snapshot.
 fn watched_version(head: &Head) -> Option<u64> {
     let (_, query) = head.target.split_once('?')?;
     let pairs = || query.split('&').filter_map(|pair| pair.split_once('='));
