--- a/crates/fleet-emulator/src/link/carrier.rs
+++ b/crates/fleet-emulator/src/link/carrier.rs
@@ -3,7 +3,7 @@
 use super::scanner::{RequestScanner, ScannedRequest};
 use super::{Link, LinkState, Reachability};
 use crate::clock::{self, Timestamp};
-use crate::protocol::{classify, timeout};
+use crate::protocol::{classify_call, propagated_timeout};
 use crate::record::{ConnectionId, Record};
 use rand::Rng;
 use std::io;
@@ -167,14 +167,14 @@
     }
 
     fn record_call(&self, ScannedRequest { started, head }: &ScannedRequest) {
-        let (call, request) = classify(head);
+        let (call, request) = classify_call(head);
         let record = Record::CallStarted {
             call,
             request,
             router: self.link.router,
             worker: self.link.worker.settings.index,
             connection: self.connection,
-            propagated_timeout: timeout(head),
+            propagated_timeout: propagated_timeout(head),
         };
         self.link.history.add_at(*started, record);
     }
--- a/crates/fleet-emulator/src/worker/mod.rs
+++ b/crates/fleet-emulator/src/worker/mod.rs
@@ -9,7 +9,7 @@
 use crate::clock::{self, Timestamp};
 use crate::history::History;
 use crate::http::{ConnectionUse, Head, MessageReader};
-use crate::protocol::{classify, prompt_tokens, timeout};
+use crate::protocol::{classify_call, prompt_tokens, propagated_timeout};
 use crate::record::{CallKind, ConnectionId, Record, Role, WorkerIndex};
 use crate::sync::lock;
 use exchange::{Exchange, RequestSize};
@@ -179,7 +179,7 @@
         output: &mut WriteHalf<impl AsyncRead + AsyncWrite>,
         connection: ConnectionId,
     ) -> io::Result<ConnectionUse> {
-        let (call, request) = classify(head);
+        let (call, request) = classify_call(head);
         let worker = self.settings.index;
         self.history.add(Record::CallReceived { call, request: request.clone(), worker, connection });
         let misbehaviour = *lock(&self.misbehaviour);
@@ -188,7 +188,8 @@
             CallKind::Release => exchange.serve_release().await,
             CallKind::Other => exchange.respond_not_found().await,
             CallKind::Attempt => {
-                let deadline = timeout(head).map_or(Timestamp::MAX, |timeout| clock::now() + timeout);
+                let deadline =
+                    propagated_timeout(head).map_or(Timestamp::MAX, |timeout| clock::now() + timeout);
                 let body: RequestBody = serde_json::from_slice(body).unwrap_or_default();
                 let size =
                     RequestSize { prompt_tokens: prompt_tokens(head), max_output_tokens: body.max_tokens };
