--- a/crates/fleet-emulator/src/client/events.rs
+++ b/crates/fleet-emulator/src/client/events.rs
@@ -1,17 +1,18 @@
-//! The events of one streamed response, as its client receives them.
+//! The event stream of one response, as its client receives it.
 
 use crate::clock::{self, Timestamp};
 use crate::record::{ConnectionId, RequestId};
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// The received events, and whether they are those that one worker sent for the request.
+/// The events received so far, and the check that they are the unaltered stream of one worker for the request.
 pub(super) struct EventStream {
     request: RequestId,
-    /// The bytes of an event that is not complete.
-    partial: Vec<u8>,
-    count: u64,
-    /// The connections of the attempts from which events came.
+    /// The bytes of an incomplete event.
+    partial_event: Vec<u8>,
+    /// The number of content events received.
+    content_events: u64,
+    /// The connections to workers over which the events came, one per attempt.
     connections: HashSet<ConnectionId>,
     is_done: bool,
     is_intact: bool,
@@ -22,8 +23,8 @@
     pub(super) fn new(request: RequestId) -> Self {
         EventStream {
             request,
-            partial: Vec::new(),
-            count: 0,
+            partial_event: Vec::new(),
+            content_events: 0,
             connections: HashSet::new(),
             is_done: false,
             is_intact: true,
@@ -31,31 +32,31 @@
         }
     }
 
-    /// Whether any event with content has been received.
+    /// Whether a content event has been received.
     pub(super) fn has_content(&self) -> bool {
-        self.count > 0
+        self.content_events > 0
     }
 
-    /// Whether the last event has been received.
+    /// Whether the event that ends the stream has been received.
     pub(super) fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// Whether all events are those that one worker sent for this request, in order.
+    /// Whether the events so far are the complete, ordered events of one worker for this request.
     pub(super) fn is_intact(&self) -> bool {
         self.is_intact
     }
 
-    /// The longest time that an event took from its worker.
+    /// The longest delay of an event between its worker and this client.
     pub(super) fn longest_delay(&self) -> Duration {
         self.longest_delay
     }
 
-    /// Receives the next bytes of the response.
+    /// Processes the next bytes of the response body.
     pub(super) fn receive(&mut self, data: &[u8]) {
-        self.partial.extend_from_slice(data);
-        while let Some(end) = self.partial.windows(2).position(|two| two == b"\n\n") {
-            let event: Vec<u8> = self.partial.drain(..end + 2).collect();
+        self.partial_event.extend_from_slice(data);
+        while let Some(end) = self.partial_event.windows(2).position(|pair| pair == b"\n\n") {
+            let event: Vec<u8> = self.partial_event.drain(..end + 2).collect();
             self.receive_event(String::from_utf8_lossy(&event).trim());
         }
     }
@@ -67,20 +68,20 @@
         }
         let content = event.split_once("\"content\":\"").and_then(|(_, rest)| rest.split('"').next());
         let Some(content) = content else {
-            // The only other event that a worker sends is the usage report at the end.
+            // Besides content events, a worker sends only the usage report at the end.
             self.is_intact &= event.contains("\"usage\"") && self.has_content();
             return;
         };
-        let parts: Vec<&str> = content.split(' ').collect();
-        let [request, connection, number, sent] = parts[..] else {
+        let fields: Vec<&str> = content.split(' ').collect();
+        let [request, connection, number, sent_at] = fields[..] else {
             self.is_intact = false;
             return;
         };
         self.connections.extend(connection.parse::<ConnectionId>());
-        let is_next = number.parse() == Ok(self.count) && *request == *self.request;
+        let is_next = number.parse() == Ok(self.content_events) && *request == *self.request;
         self.is_intact &= is_next && self.connections.len() == 1;
-        self.count += 1;
-        let sent = Timestamp::from_micros(sent.parse().unwrap_or(0));
-        self.longest_delay = self.longest_delay.max(clock::now().since(sent));
+        self.content_events += 1;
+        let sent_at = Timestamp::from_micros(sent_at.parse().unwrap_or(0));
+        self.longest_delay = self.longest_delay.max(clock::now().since(sent_at));
     }
 }
--- a/crates/fleet-emulator/src/client/mod.rs
+++ b/crates/fleet-emulator/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients that send valid requests, patiently or not, and record what becomes of them.
+//! Emulated clients that send valid requests and record the responses. They may write slowly or disconnect early.
 
 mod events;
 mod request;
@@ -18,33 +18,33 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// A connection that is not established by then has failed.
+/// The timeout of connection establishment.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A client stops waiting for a response that has not started this long after the deadline.
+/// The time after the deadline of a request at which its client stops waiting for the start of the response.
 const RESPONSE_GRACE: Duration = Duration::from_secs(3);
-/// A client stops waiting for a stream on which nothing arrives for this time.
+/// The time without data after which a client stops waiting for the rest of a stream.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// How a client behaves.
+/// The behaviour of a client during one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehaviour {
-    /// The time after sending the request at which the client disconnects, unless the response has ended by then.
+    /// The time from the end of the request until the client disconnects, unless the response has ended by then.
     pub disconnects_after: Option<Duration>,
     /// Whether the client writes the request slowly.
     pub writes_slowly: bool,
 }
 
-/// What became of a request, from the point of view of its client.
+/// The outcome of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The client got the whole response.
+    /// The client received the complete response.
     Completed,
-    /// The router rejected the request, so sending it again is harmless.
+    /// The router rejected the request, so a retry is safe.
     Rejected {
-        /// The time that the router asked the client to wait.
+        /// The delay in the `Retry-After` header.
         retry_after: Option<Duration>,
     },
-    /// Anything else.
+    /// Any other end, including an early disconnect by the client.
     Failed,
 }
 
@@ -53,46 +53,46 @@
 struct Connection {
     reader: MessageReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
-    /// The number of requests that the connection has carried.
-    carried: u32,
+    /// The number of completed exchanges on the connection.
+    completed_exchanges: u32,
 }
 
-/// Why an exchange ended before its response did.
+/// The reason why an exchange ended before the end of the response.
 enum ExchangeError {
-    /// The connection ended before any byte of the response.
+    /// The connection ended before the first byte of the response.
     Unanswered(ConnectionEnd),
-    /// Nothing arrived in time.
+    /// No data arrived in time.
     TimedOut,
-    /// The connection ended, or the response became invalid, in the middle of the response.
+    /// The connection ended in the middle of the response, or the response is malformed.
     Truncated,
 }
 
-/// The clients of one router, and the pool of their idle connections.
+/// The clients of one router, which share a pool of idle connections.
 #[derive(Clone, Debug)]
 pub struct Clients {
     router: RouterIndex,
     address: SocketAddr,
     history: History,
-    idle: Arc<Mutex<Vec<Connection>>>,
+    idle_connections: Arc<Mutex<Vec<Connection>>>,
 }
 
 impl Clients {
-    /// Creates the clients of a router that listens at an address.
+    /// Creates the clients of a router that listens on an address.
     pub fn new(router: RouterIndex, address: SocketAddr, history: History) -> Self {
-        Clients { router, address, history, idle: Arc::default() }
+        Clients { router, address, history, idle_connections: Arc::default() }
     }
 
-    /// Whether there is an idle connection that can carry a request.
+    /// Whether the pool has an idle connection.
     pub fn has_idle_connection(&self) -> bool {
-        !lock(&self.idle).is_empty()
+        !lock(&self.idle_connections).is_empty()
     }
 
-    /// Sends a request on an idle or a new connection, and waits for the end of the response.
+    /// Sends a request on an idle connection, or on a new one if there is none, and waits for the end of the response.
     ///
-    /// When an idle connection ends without a response, its close may have crossed the request, so the request is sent
-    /// once more on a new connection.
+    /// If a reused connection ends without a response, the router may have closed it before the request arrived, so the
+    /// request is sent once more on a new connection.
     pub async fn send(&self, request: &Request, behaviour: ClientBehaviour) -> Outcome {
-        let idle = lock(&self.idle).pop();
+        let idle = lock(&self.idle_connections).pop();
         let is_reused = idle.is_some();
         let result = match self.transmit(idle, request, behaviour, false).await {
             Err(ExchangeError::Unanswered(_)) if is_reused => {
@@ -103,7 +103,7 @@
         result.unwrap_or(Outcome::Failed)
     }
 
-    /// Sends a request once, and records the start and the failure of the exchange.
+    /// Sends a request once. Records the start of the exchange, and its failure if no response arrives.
     async fn transmit(
         &self,
         idle: Option<Connection>,
@@ -111,7 +111,7 @@
         behaviour: ClientBehaviour,
         is_resent: bool,
     ) -> Result<Outcome, ExchangeError> {
-        let prior_requests = idle.as_ref().map_or(0, |connection| connection.carried);
+        let prior_requests = idle.as_ref().map_or(0, |connection| connection.completed_exchanges);
         self.history.add(Record::RequestStarted {
             request: request.id.clone(),
             router: self.router,
@@ -141,28 +141,28 @@
             Some(connection) => connection,
             None => self.connect().await.map_err(|_| ExchangeError::Unanswered(ConnectionEnd::NotOpened))?,
         };
-        let written = request.write(&mut connection.writer, behaviour.writes_slowly).await;
-        let sent = clock::now();
-        if written.is_ok() {
+        let write_result = request.write(&mut connection.writer, behaviour.writes_slowly).await;
+        let sent_at = clock::now();
+        if write_result.is_ok() {
             let first_token_timeout = request.first_token_timeout;
             self.history
-                .add_at(sent, Record::RequestSent { request: request.id.clone(), first_token_timeout });
+                .add_at(sent_at, Record::RequestSent { request: request.id.clone(), first_token_timeout });
         }
-        let disconnect_at = behaviour.disconnects_after.map(|after| sent + after);
-        let receiving = self.receive_response(&mut connection.reader, request, sent);
-        let received = tokio::select! {
-            // A disconnect that is due takes precedence over a response that has just arrived.
+        let disconnect_at = behaviour.disconnects_after.map(|after| sent_at + after);
+        let response = self.receive_response(&mut connection.reader, request, sent_at);
+        let result = tokio::select! {
+            // A disconnect that is due takes precedence over a response that is ready at the same time.
             biased;
             () = clock::sleep_until_or_forever(disconnect_at) => {
                 self.history.add(Record::ClientDisconnected { request: request.id.clone() });
                 return Ok(Outcome::Failed);
             }
-            received = receiving => received,
+            result = response => result,
         };
-        let (outcome, connection_use) = received?;
-        connection.carried += 1;
+        let (outcome, connection_use) = result?;
+        connection.completed_exchanges += 1;
         if connection_use == ConnectionUse::Reuse && connection.reader.is_empty() {
-            lock(&self.idle).push(connection);
+            lock(&self.idle_connections).push(connection);
         }
         Ok(outcome)
     }
@@ -171,24 +171,24 @@
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await??;
         stream.set_nodelay(true)?;
         let (reader, writer) = stream.into_split();
-        Ok(Connection { reader: MessageReader::new(reader), writer, carried: 0 })
+        Ok(Connection { reader: MessageReader::new(reader), writer, completed_exchanges: 0 })
     }
 
     async fn receive_response(
         &self,
         reader: &mut MessageReader<OwnedReadHalf>,
         request: &Request,
-        sent: Timestamp,
+        sent_at: Timestamp,
     ) -> Result<(Outcome, ConnectionUse), ExchangeError> {
-        let head = receive_head(reader, sent + request.first_token_timeout + RESPONSE_GRACE).await?;
-        let retry_after = head.header("retry-after").and_then(|text| text.parse::<f64>().ok());
+        let head = receive_head(reader, sent_at + request.first_token_timeout + RESPONSE_GRACE).await?;
+        let retry_after = head.header("retry-after").and_then(|value| value.parse::<f64>().ok());
         self.history.add(Record::ResponseStarted {
             request: request.id.clone(),
             status: head.status,
             has_retry_after: retry_after.is_some(),
         });
-        let closes = head.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
-        let connection_use = if closes { ConnectionUse::Close } else { ConnectionUse::Reuse };
+        let is_closing = head.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        let connection_use = if is_closing { ConnectionUse::Close } else { ConnectionUse::Reuse };
         if head.status == 200 {
             let outcome = self.receive_stream(reader, request, &head).await?;
             return Ok((outcome, connection_use));
@@ -213,7 +213,7 @@
         result.map(|()| Outcome::Completed)
     }
 
-    /// Receives the events of a stream up to its proper end.
+    /// Receives the events of a stream up to its regular end.
     async fn receive_events(
         &self,
         reader: &mut MessageReader<OwnedReadHalf>,
@@ -246,14 +246,14 @@
     }
 }
 
-/// Receives the head of a response.
+/// Receives the head of a response, unless a deadline passes first.
 async fn receive_head(
     reader: &mut MessageReader<OwnedReadHalf>,
-    give_up_at: Timestamp,
+    deadline: Timestamp,
 ) -> Result<Head, ExchangeError> {
     let head = tokio::select! {
         head = reader.read_response() => head,
-        () = clock::sleep_until(give_up_at) => return Err(ExchangeError::TimedOut),
+        () = clock::sleep_until(deadline) => return Err(ExchangeError::TimedOut),
     };
     match head {
         Ok(Some(head)) => Ok(head),
--- a/crates/fleet-emulator/src/client/request.rs
+++ b/crates/fleet-emulator/src/client/request.rs
@@ -1,4 +1,4 @@
-//! A request of a client, and how it is written to a connection.
+//! The request of a client, its encoding, and its transmission.
 
 use crate::clock::whole_micros;
 use crate::record::{Idempotency, RequestId};
@@ -8,42 +8,42 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 
 /// The number of pieces in which a slow client writes a request.
-const SLOW_PIECES: usize = 6;
+const SLOW_WRITE_PIECES: usize = 6;
 /// The longest pause between two pieces.
-const MAX_SLOW_PAUSE: Duration = Duration::from_millis(60);
+const MAX_SLOW_WRITE_PAUSE: Duration = Duration::from_millis(60);
 
-/// A request.
+/// A chat completion request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The id of the request.
     pub id: RequestId,
-    /// The class of the request.
+    /// The name of the request class.
     pub class: &'static str,
     /// Whether the request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The conversation to which the request belongs.
+    /// The session to which the request belongs.
     pub session: String,
-    /// The prefix that the prompt shares with others.
+    /// The prefix that the prompt shares with other prompts, if any.
     pub shared_prefix: Option<SharedPrefix>,
-    /// The length of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// The largest length of the response.
+    /// The maximum length of the response in tokens.
     pub max_tokens: u64,
     /// The time within which the client expects the first token.
     pub first_token_timeout: Duration,
 }
 
-/// The beginning of a prompt that other prompts have as well.
+/// A prompt prefix that several prompts share.
 #[derive(Clone, Debug)]
 pub struct SharedPrefix {
-    /// The key by which the prefix is recognized.
+    /// The key that identifies the prefix.
     pub key: String,
-    /// The length of the prefix.
+    /// The length of the prefix in tokens.
     pub tokens: u64,
 }
 
 impl Request {
-    /// The request as HTTP/1.1 bytes.
+    /// Encodes the request as HTTP/1.1.
     pub fn encode(&self) -> Vec<u8> {
         let Request { id, class, session, prompt_tokens, max_tokens, .. } = self;
         let timeout_us = whole_micros(self.first_token_timeout);
@@ -63,15 +63,15 @@
         .into_bytes()
     }
 
-    /// Writes the request, in pieces with pauses if `slowly`.
+    /// Writes the request, if `slowly` in pieces with random pauses.
     pub(super) async fn write(&self, output: &mut (impl AsyncWrite + Unpin), slowly: bool) -> io::Result<()> {
         let bytes = self.encode();
         if !slowly {
             return output.write_all(&bytes).await;
         }
-        for piece in bytes.chunks(bytes.len().div_ceil(SLOW_PIECES)) {
+        for piece in bytes.chunks(bytes.len().div_ceil(SLOW_WRITE_PIECES)) {
             output.write_all(piece).await?;
-            let pause = rand::rng().random_range(Duration::ZERO..MAX_SLOW_PAUSE);
+            let pause = rand::rng().random_range(Duration::ZERO..MAX_SLOW_WRITE_PAUSE);
             tokio::time::sleep(pause).await;
         }
         Ok(())
