--- a/crates/fleet-emulator/src/link/carrier.rs
+++ b/crates/fleet-emulator/src/link/connection.rs
@@ -1,4 +1,4 @@
-//! Carries the bytes of one connection between a router and a worker.
+//! Forwards the data of one connection between a router and a worker, with emulated faults.
 
 use super::scanner::{RequestScanner, ScannedRequest};
 use super::{Link, LinkState, Reachability};
@@ -14,53 +14,57 @@
 use tokio::sync::watch;
 
 const READ_BYTES: usize = 16 * 1024;
-/// The size of the largest fragment of a fragmented response.
+/// The largest fragment of a fragmented response.
 const MAX_FRAGMENT_BYTES: usize = 64;
-/// The share of fragments that are followed by a pause, and the length of the pause.
+/// The share of fragments after which the link pauses.
 const FRAGMENT_PAUSE_SHARE: f64 = 0.1;
+/// The length of such a pause.
 const FRAGMENT_PAUSE: Duration = Duration::from_millis(3);
-/// A connection that is reset under a request is reset within this time after the request started.
-const RESET_WITHIN: Duration = Duration::from_millis(300);
+/// The longest delay between the start of a request and an injected reset of its connection.
+const MAX_RESET_DELAY: Duration = Duration::from_millis(300);
 
-/// How a link ends a connection to its router.
+/// How a link closes a connection to its router.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum End {
-    Close,
+pub(super) enum CloseKind {
+    /// With a FIN.
+    Graceful,
+    /// With an RST.
     Reset,
 }
 
-/// One connection.
-pub(super) struct Carrier<'a> {
+/// A connection that the link forwards.
+pub(super) struct ProxiedConnection<'a> {
     link: &'a Link,
     state: watch::Receiver<LinkState>,
-    connection: ConnectionId,
+    id: ConnectionId,
     scanner: RequestScanner,
-    /// The bytes that the router wrote and the worker has not got.
+    /// The bytes from the router that have not been forwarded to the worker.
     undelivered: Vec<u8>,
-    /// When the worker last sent something.
-    last_received: Option<Timestamp>,
-    /// When the connection is going to be reset.
+    /// The time at which data from the worker last arrived.
+    last_response_at: Option<Timestamp>,
+    /// The time of a scheduled reset.
     reset_at: Option<Timestamp>,
     is_closed_by_router: bool,
-    /// Whether the connection has stalled at some time.
+    /// Whether the connection has stalled at least once.
     was_stalled: bool,
 }
 
-impl<'a> Carrier<'a> {
-    /// A carrier of a connection on which the router wrote its first byte already, if `first_byte_at` says when.
+impl<'a> ProxiedConnection<'a> {
+    /// Creates the state of an accepted connection. `first_byte_at` is the time of the router's first byte, if that
+    /// arrived before forwarding starts.
     pub(super) fn new(
         link: &'a Link,
         state: watch::Receiver<LinkState>,
-        connection: ConnectionId,
+        id: ConnectionId,
         first_byte_at: Option<Timestamp>,
     ) -> Self {
-        Carrier {
+        ProxiedConnection {
             link,
             state,
-            connection,
+            id,
             scanner: RequestScanner::new(first_byte_at),
             undelivered: Vec::new(),
-            last_received: None,
+            last_response_at: None,
             reset_at: None,
             is_closed_by_router: false,
             was_stalled: false,
@@ -71,9 +75,9 @@
         self.is_closed_by_router
     }
 
-    /// Carries bytes in both directions until a side ends the connection. While the link is unresponsive, nothing is
-    /// delivered in either direction, and the end of the connection by the router is not passed on.
-    pub(super) async fn run(&mut self, stream: &TcpStream, worker: DuplexStream) -> End {
+    /// Forwards data in both directions until either side closes the connection. While the link is unresponsive, it
+    /// forwards neither data nor a close by the router.
+    pub(super) async fn forward(&mut self, stream: &TcpStream, worker: DuplexStream) -> CloseKind {
         let (mut from_worker, mut to_worker) = tokio::io::split(worker);
         let mut response = vec![0; READ_BYTES];
         loop {
@@ -89,25 +93,25 @@
                 self.undelivered.clear();
             }
             if is_responsive && self.is_closed_by_router {
-                return End::Close;
+                return CloseKind::Graceful;
             }
             let close_at = self.idle_since().zip(state.idle_close_after).map(|(since, after)| since + after);
             tokio::select! {
-                // In this order, a change of the state and a close or reset that is due precede bytes that are ready.
+                // Changes of the link state, and a close or reset that is due, take precedence over data that is ready.
                 biased;
                 _ = self.state.changed() => {}
-                () = clock::sleep_until_or_forever(close_at), if is_responsive => return End::Close,
-                () = clock::sleep_until_or_forever(self.reset_at) => return End::Reset,
-                read = read_some(stream), if !self.is_closed_by_router => {
-                    if let ControlFlow::Break(end) = self.take_from_router(read, &state) {
-                        return end;
+                () = clock::sleep_until_or_forever(close_at), if is_responsive => return CloseKind::Graceful,
+                () = clock::sleep_until_or_forever(self.reset_at) => return CloseKind::Reset,
+                read = read_available(stream), if !self.is_closed_by_router => {
+                    if let ControlFlow::Break(kind) = self.handle_router_read(read, &state) {
+                        return kind;
                     }
                 }
                 read = from_worker.read(&mut response), if is_responsive => {
-                    let Some(length) = read.ok().filter(|length| *length > 0) else { return draw_end() };
-                    self.last_received = Some(clock::now());
+                    let Some(length) = read.ok().filter(|length| *length > 0) else { return draw_close_kind() };
+                    self.last_response_at = Some(clock::now());
                     if write(stream, &response[..length], state.is_fragmenting).await.is_err() {
-                        return End::Reset;
+                        return CloseKind::Reset;
                     }
                 }
             }
@@ -117,38 +121,39 @@
     fn record_stall(&mut self) {
         if !self.was_stalled {
             self.was_stalled = true;
-            self.link.history.add(Record::ConnectionStalled { connection: self.connection });
+            self.link.history.add(Record::ConnectionStalled { connection: self.id });
         }
     }
 
-    /// Since when the connection has been idle; `None` under a request and before the first response.
+    /// The start of the current idle period; `None` during a request and before the first response.
     fn idle_since(&self) -> Option<Timestamp> {
-        self.last_received.filter(|_| self.scanner.is_between_requests())
+        self.last_response_at.filter(|_| self.scanner.is_between_requests())
     }
 
+    /// Whether the connection has been idle for so long that the network has silently dropped it.
     fn is_dropped(&self, state: &LinkState) -> bool {
         let idle = self.idle_since().zip(state.idle_drop_after);
         idle.is_some_and(|(since, after)| clock::now().since(since) >= after)
     }
 
-    /// Takes what the router wrote, or the end of the connection.
-    fn take_from_router(&mut self, read: io::Result<Vec<u8>>, state: &LinkState) -> ControlFlow<End> {
+    /// Handles data from the router, or the close of the connection by the router.
+    fn handle_router_read(&mut self, read: io::Result<Vec<u8>>, state: &LinkState) -> ControlFlow<CloseKind> {
         let bytes = match read {
             Ok(bytes) if !bytes.is_empty() => bytes,
-            ended => {
+            closed => {
                 self.is_closed_by_router = true;
-                let connection = self.connection;
+                let connection = self.id;
                 self.link.history.add(Record::ConnectionClosedByRouter { connection });
-                // After a reset, undelivered bytes are lost. After a close they are still delivered.
-                return if ended.is_err() {
-                    ControlFlow::Break(End::Reset)
+                // A reset discards undelivered bytes. After a graceful close they are still delivered.
+                return if closed.is_err() {
+                    ControlFlow::Break(CloseKind::Reset)
                 } else {
                     ControlFlow::Continue(())
                 };
             }
         };
         if self.is_dropped(state) {
-            return ControlFlow::Break(End::Reset);
+            return ControlFlow::Break(CloseKind::Reset);
         }
         self.undelivered.extend_from_slice(&bytes);
         for request in self.scanner.scan(&bytes) {
@@ -161,33 +166,33 @@
     fn schedule_reset(&mut self, state: &LinkState) {
         let probability = state.reset_probability;
         if probability > 0.0 && rand::rng().random_bool(probability.min(1.0)) {
-            let after = rand::rng().random_range(Duration::ZERO..RESET_WITHIN);
-            self.reset_at = Some(clock::now() + after);
+            let delay = rand::rng().random_range(Duration::ZERO..MAX_RESET_DELAY);
+            self.reset_at = Some(clock::now() + delay);
         }
     }
 
-    fn record_call(&self, ScannedRequest { started, head }: &ScannedRequest) {
+    fn record_call(&self, ScannedRequest { started_at, head }: &ScannedRequest) {
         let (call, request) = classify_call(head);
         let record = Record::CallStarted {
             call,
             request,
             router: self.link.router,
             worker: self.link.worker.settings.index,
-            connection: self.connection,
+            connection: self.id,
             propagated_timeout: propagated_timeout(head),
         };
-        self.link.history.add_at(*started, record);
+        self.link.history.add_at(*started_at, record);
     }
 }
 
-/// Draws how a connection ends that the worker has ended: a process that closes it sends a FIN and one that crashes a
-/// reset, which look alike from here.
-fn draw_end() -> End {
-    if rand::rng().random_bool(0.5) { End::Close } else { End::Reset }
+/// Draws how the link closes a connection that the worker has closed: a worker that closes it sends a FIN, one that
+/// crashes an RST, and the in-memory connection does not tell them apart.
+fn draw_close_kind() -> CloseKind {
+    if rand::rng().random_bool(0.5) { CloseKind::Graceful } else { CloseKind::Reset }
 }
 
-/// Reads the bytes that have arrived; none at the end of the stream. Nothing is lost when the future is dropped.
-async fn read_some(stream: &TcpStream) -> io::Result<Vec<u8>> {
+/// Reads the available bytes; empty at the end of the stream. Cancel-safe.
+async fn read_available(stream: &TcpStream) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; READ_BYTES];
     loop {
         stream.readable().await?;
@@ -202,15 +207,17 @@
     }
 }
 
+/// Writes data to the router, in random fragments with occasional pauses if `is_fragmenting`.
 async fn write(stream: &TcpStream, bytes: &[u8], is_fragmenting: bool) -> io::Result<()> {
-    let mut rest = bytes;
-    while !rest.is_empty() {
-        let most = if is_fragmenting { rand::rng().random_range(1..=MAX_FRAGMENT_BYTES) } else { rest.len() };
+    let mut remaining = bytes;
+    while !remaining.is_empty() {
+        let limit =
+            if is_fragmenting { rand::rng().random_range(1..=MAX_FRAGMENT_BYTES) } else { remaining.len() };
         stream.writable().await?;
-        match stream.try_write(&rest[..most.min(rest.len())]) {
+        match stream.try_write(&remaining[..limit.min(remaining.len())]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
-            Ok(written) => rest = &rest[written..],
+            Ok(length) => remaining = &remaining[length..],
         }
         let is_paused = is_fragmenting && rand::rng().random_bool(FRAGMENT_PAUSE_SHARE);
         tokio::time::sleep(if is_paused { FRAGMENT_PAUSE } else { Duration::ZERO }).await;
--- a/crates/fleet-emulator/src/link/mod.rs
+++ b/crates/fleet-emulator/src/link/mod.rs
@@ -1,16 +1,16 @@
-//! The network between one router and one worker: a proxy that emulates network faults.
+//! The network between one router and one worker: a TCP proxy that emulates network faults.
 //!
-//! A link observes the bytes of a router when they are written, so what it records is the behaviour of the router and
-//! not that of the worker.
+//! A link observes data from the router before any emulated delay or fault, so its records show the behaviour of the
+//! router rather than that of the worker.
 
-mod carrier;
+mod connection;
 mod scanner;
 
 use crate::clock::{self, Timestamp};
 use crate::history::History;
 use crate::record::{ConnectionId, Record, RouterIndex};
 use crate::worker::Worker;
-use carrier::{Carrier, End};
+use connection::{CloseKind, ProxiedConnection};
 use socket2::{Domain, SockRef, Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpStream as BlockingStream};
@@ -20,25 +20,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
+/// The listen backlog of a reachable link.
 const BACKLOG: i32 = 128;
 /// The number of connections that fill the accept queue of a listener with a backlog of 0.
 const FILLER_CONNECTIONS: usize = 2;
-/// The bytes between a link and its worker, which is more than any request has.
+/// The size of the buffer between a link and its worker. It exceeds the size of any request.
 const WORKER_BUFFER_BYTES: usize = 1 << 20;
-/// The pause before another try to listen on an address that is still in use.
-const LISTEN_RETRY_PAUSE: Duration = Duration::from_millis(1);
+/// The backoff before another attempt to listen on an address that is in use.
+const LISTEN_RETRY_BACKOFF: Duration = Duration::from_millis(1);
 
-static NEXT_CONNECTION: AtomicU64 = AtomicU64::new(1);
+static NEXT_CONNECTION_ID: AtomicU64 = AtomicU64::new(1);
 
 /// Whether a router can reach a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reachability {
-    /// It can.
+    /// The link forwards data and accepts connections.
     #[default]
     Up,
-    /// Nothing passes: open connections stay open, new ones are never established.
+    /// Packets are dropped: open connections stay open without data, new ones are never established.
     Unresponsive,
-    /// There is no process: new connections are refused.
+    /// No process listens: new connections are refused.
     Refused,
 }
 
@@ -47,19 +48,19 @@
 pub struct LinkState {
     /// Whether the router can reach the worker.
     pub reachability: Reachability,
-    /// The time from the start of a connection until it carries bytes.
+    /// The time from the establishment of a connection until it forwards data.
     pub connect_delay: Duration,
-    /// Whether responses arrive in small fragments.
+    /// Whether responses are forwarded in small fragments.
     pub is_fragmenting: bool,
-    /// The probability that a connection is reset under a request.
+    /// The probability per request, from 0 to 1, that its connection is reset.
     pub reset_probability: f64,
-    /// Connections that are idle for this time are closed.
+    /// The idle time after which a connection is closed.
     pub idle_close_after: Option<Duration>,
-    /// Connections that are idle for this time are dropped silently: the next request is answered by a reset.
+    /// The idle time after which a connection is silently dropped: the next request on it is answered with a reset.
     pub idle_drop_after: Option<Duration>,
 }
 
-/// The path from one router to one worker.
+/// The network link from one router to one worker.
 #[derive(Debug)]
 pub struct Link {
     /// The address to which the router connects.
@@ -92,7 +93,7 @@
         self.state.send_modify(change);
     }
 
-    /// Accepts connections, and emulates a worker that can't be reached.
+    /// Accepts connections, or emulates an unreachable worker, as the reachability demands.
     async fn run(self: Arc<Self>, listener: TcpListener) {
         let mut state = self.state.subscribe();
         let mut listener = Some(listener);
@@ -106,7 +107,7 @@
                     }
                 }
                 (Reachability::Up | Reachability::Unresponsive, None) => {
-                    listener = self.listen_again().await;
+                    listener = self.retry_listen().await;
                 }
                 (Reachability::Refused, _) => {
                     listener = None;
@@ -115,17 +116,18 @@
                 (Reachability::Unresponsive, Some(open)) => {
                     let fillers = fill_accept_queue(open, self.address);
                     let _ = state.wait_for(|state| state.reachability != Reachability::Unresponsive).await;
-                    empty_accept_queue(open, &fillers);
+                    drain_accept_queue(open, &fillers);
                 }
             }
         }
     }
 
-    async fn listen_again(&self) -> Option<TcpListener> {
+    /// Listens again after a refusal. Returns `None` after a backoff if the address is still in use.
+    async fn retry_listen(&self) -> Option<TcpListener> {
         match listen(self.address) {
             Ok(listener) => Some(listener),
             Err(_) => {
-                tokio::time::sleep(LISTEN_RETRY_PAUSE).await;
+                tokio::time::sleep(LISTEN_RETRY_BACKOFF).await;
                 None
             }
         }
@@ -133,37 +135,37 @@
 
     fn accept(self: &Arc<Self>, accepted: io::Result<(TcpStream, SocketAddr)>) {
         let Ok((stream, _)) = accepted else { return };
-        tokio::spawn(self.clone().carry(stream));
+        tokio::spawn(self.clone().proxy(stream));
     }
 
-    /// Carries one connection until a side ends it.
-    async fn carry(self: Arc<Self>, stream: TcpStream) {
-        let connection: ConnectionId = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
+    /// Proxies one connection until either side closes it.
+    async fn proxy(self: Arc<Self>, stream: TcpStream) {
+        let id: ConnectionId = NEXT_CONNECTION_ID.fetch_add(1, Ordering::Relaxed);
         let delay = self.state.borrow().connect_delay;
         let first_byte_at = if delay.is_zero() { None } else { delay_connection(&stream, delay).await };
         let _ = stream.set_nodelay(true);
-        let (near, far) = tokio::io::duplex(WORKER_BUFFER_BYTES);
-        let serving = tokio::spawn(self.worker.clone().serve(far, connection));
-        let mut carrier = Carrier::new(&self, self.state.subscribe(), connection, first_byte_at);
-        let end = carrier.run(&stream, near).await;
-        if end == End::Reset {
+        let (link_side, worker_side) = tokio::io::duplex(WORKER_BUFFER_BYTES);
+        let worker_task = tokio::spawn(self.worker.clone().serve(worker_side, id));
+        let mut connection = ProxiedConnection::new(&self, self.state.subscribe(), id, first_byte_at);
+        let close_kind = connection.forward(&stream, link_side).await;
+        if close_kind == CloseKind::Reset {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
         drop(stream);
-        if !carrier.is_closed_by_router() {
-            self.history.add(Record::ConnectionClosedByWorker { connection });
+        if !connection.is_closed_by_router() {
+            self.history.add(Record::ConnectionClosedByWorker { connection: id });
         }
-        // The worker notices the end of the connection by itself, so its task is detached and not aborted.
-        drop(serving);
+        // The worker notices the close by itself, so its task is detached rather than aborted.
+        drop(worker_task);
     }
 }
 
-/// Waits while a connection carries nothing. Returns when the router wrote its first byte, if it did so meanwhile.
+/// Delays the forwarding of a connection. Returns the time of the router's first byte, if it arrived during the delay.
 async fn delay_connection(stream: &TcpStream, delay: Duration) -> Option<Timestamp> {
-    let until = clock::now() + delay;
-    let is_written = tokio::time::timeout(delay, stream.readable()).await.is_ok();
-    let first_byte_at = is_written.then(clock::now);
-    clock::sleep_until(until).await;
+    let delay_ends_at = clock::now() + delay;
+    let has_data = tokio::time::timeout(delay, stream.readable()).await.is_ok();
+    let first_byte_at = has_data.then(clock::now);
+    clock::sleep_until(delay_ends_at).await;
     first_byte_at
 }
 
@@ -176,7 +178,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Fills the accept queue so that the kernel drops further connection attempts, as if the machine were unresponsive.
+/// Fills the accept queue, so that the kernel drops further SYNs as if the host were unresponsive.
 fn fill_accept_queue(listener: &TcpListener, address: SocketAddr) -> Vec<BlockingStream> {
     let _ = SockRef::from(listener).listen(0);
     (0..FILLER_CONNECTIONS).filter_map(|_| begin_connect(address).ok()).collect()
@@ -186,15 +188,15 @@
 fn begin_connect(address: SocketAddr) -> io::Result<BlockingStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
-    // The connection is in progress, which is reported as an error.
+    // A non-blocking connect reports the connection in progress as an error.
     let _ = socket.connect(&address.into());
     Ok(socket.into())
 }
 
-/// Removes the connections that filled the accept queue, so that new ones are established again.
-fn empty_accept_queue(listener: &TcpListener, fillers: &[BlockingStream]) {
+/// Removes the connections that fill the accept queue, so that new ones are established again.
+fn drain_accept_queue(listener: &TcpListener, fillers: &[BlockingStream]) {
     let _ = SockRef::from(listener).listen(BACKLOG);
-    // This may remove a router's connection in place of a filler. It has carried nothing, so the router retries.
+    // This may remove a connection of the router instead of a filler. No response was sent on it, so the router retries.
     for _ in fillers {
         let _ = SockRef::from(listener).accept();
     }
