--- a/crates/fleet-emulator/src/agent/mod.rs
+++ b/crates/fleet-emulator/src/agent/mod.rs
@@ -5,7 +5,7 @@
 pub use endpoints::{Endpoint, EndpointMessage, Health};
 
 use crate::history::History;
-use crate::http::{Head, MessageReader, chunk};
+use crate::http::{Head, MessageReader, encode_chunk};
 use crate::record::{Record, RouterIndex, WorkerIndex};
 use crate::sync::lock;
 use endpoints::EndpointList;
@@ -230,7 +230,7 @@
                 _ = state.changed() => {}
                 () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {
                     self.wait_until_sendable(connection).await;
-                    output.write_all(&chunk("\n")).await?;
+                    output.write_all(&encode_chunk("\n")).await?;
                 }
             }
             self.wait_until_sendable(connection).await;
@@ -254,7 +254,7 @@
     let split = (0..=split).rev().find(|at| message.is_char_boundary(*at)).unwrap_or(0);
     for piece in [&message[..split], &message[split..]] {
         if !piece.is_empty() {
-            output.write_all(&chunk(piece)).await?;
+            output.write_all(&encode_chunk(piece)).await?;
             output.flush().await?;
         }
     }
--- a/crates/fleet-emulator/src/fleet.rs
+++ b/crates/fleet-emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of workers, the links from each router to each of them, and the discovery agents that list them.
+//! A fleet of emulated workers, a link from each router to each worker, and a discovery agent per router.
 
 use crate::agent::{Agent, Endpoint, Health};
 use crate::clock;
@@ -12,8 +12,11 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
+/// The port of every link to a worker.
 const WORKER_PORT: u16 = 18_000;
+/// The port of every discovery agent.
 const AGENT_PORT: u16 = 18_500;
+/// The port on which every router accepts clients.
 const ROUTER_PORT: u16 = 18_900;
 
 /// The addresses of one fleet, all in the loopback network 127.N.0.0/16.
@@ -47,23 +50,23 @@
     }
 }
 
-/// A worker and how it is listed.
+/// A worker and its state in the endpoint lists.
 #[derive(Debug)]
 struct Member {
     worker: Arc<Worker>,
     health: Health,
-    /// When the process started, in milliseconds since 1970; 0 for long ago.
+    /// The start of the process in milliseconds since the Unix epoch, or 0 if it started long ago.
     started_ms: u64,
 }
 
-/// The workers, links and discovery agents around a number of routers.
+/// The emulated workers, links and discovery agents of a deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The addresses.
+    /// The addresses of the fleet.
     pub network: LoopbackNetwork,
-    /// The history to which all stand-ins write.
+    /// The history to which all components add their records.
     pub history: History,
-    /// Under how many names each worker is listed that started long ago.
+    /// The number of names under which a worker is listed if it started long ago.
     names_per_worker: usize,
     reservations: CacheReservations,
     members: Mutex<Vec<Member>>,
@@ -74,8 +77,8 @@
 }
 
 impl Fleet {
-    /// Starts a fleet without workers. Each worker that started long ago is listed under so many names: routers take it
-    /// for as many workers, so a few of them stand for a large fleet.
+    /// Starts a fleet without workers. Each worker that started long ago is listed under `names_per_worker` names. Routers
+    /// treat these as separate workers, so that a few emulated workers make up a large fleet.
     ///
     /// # Errors
     /// An address is in use.
@@ -109,17 +112,17 @@
         &self.agents[router]
     }
 
-    /// A worker.
+    /// The worker at an index.
     pub fn worker(&self, worker: WorkerIndex) -> Arc<Worker> {
         self.members()[worker].worker.clone()
     }
 
-    /// How a worker is listed.
+    /// The health of a worker in the endpoint lists.
     pub fn health(&self, worker: WorkerIndex) -> Health {
         self.members()[worker].health
     }
 
-    /// Adds a worker whose process has just started and is cold, or has run for long. Agents list it after `delay`.
+    /// Adds a worker. Its process is cold and has just started, or started long ago. Agents list it after `delay`.
     ///
     /// # Errors
     /// An address is in use.
@@ -140,11 +143,11 @@
         worker.record_start(is_cold);
         let started_ms = if is_cold { clock::wall_clock_ms() } else { 0 };
         self.members().push(Member { worker, health: Health::Ready, started_ms });
-        self.announce(index, delay);
+        self.notify_agents(index, delay);
         Ok(index)
     }
 
-    /// Changes the links of some routers to a worker.
+    /// Changes the links from selected routers to a worker.
     pub fn update_links(
         &self,
         worker: WorkerIndex,
@@ -157,13 +160,13 @@
         }
     }
 
-    /// Changes how a worker is listed. Agents receive the update after `delay`.
+    /// Sets the health of a worker in the endpoint lists. Agents receive the update after `delay`.
     pub fn set_health(self: &Arc<Self>, worker: WorkerIndex, health: Health, delay: Duration) {
         self.members()[worker].health = health;
-        self.announce(worker, delay);
+        self.notify_agents(worker, delay);
     }
 
-    /// Starts the process of a worker again after a crash. Agents receive the update after `delay`.
+    /// Restarts the process of a worker after a crash. Agents receive the update after `delay`.
     pub fn restart_worker(self: &Arc<Self>, worker: WorkerIndex, delay: Duration) {
         let mut members = self.members();
         let member = &mut members[worker];
@@ -172,11 +175,11 @@
         member.worker.set_draining(false);
         member.worker.record_start(true);
         drop(members);
-        self.announce(worker, delay);
+        self.notify_agents(worker, delay);
     }
 
-    /// A worker as a router's discovery agent lists it.
-    fn endpoint(&self, router: RouterIndex, worker: WorkerIndex) -> Endpoint {
+    /// The primary entry of a worker in the endpoint list of a router's discovery agent.
+    fn primary_endpoint(&self, router: RouterIndex, worker: WorkerIndex) -> Endpoint {
         let members = self.members();
         let Member { worker: member, health, started_ms } = &members[worker];
         let settings = member.settings;
@@ -192,28 +195,28 @@
         }
     }
 
-    /// A worker as a router's discovery agent lists it, under all of its names. A process that has started lately is
-    /// listed under one alone: what it can serve is counted by the name.
-    fn entries(&self, router: RouterIndex, worker: WorkerIndex) -> Vec<Endpoint> {
-        let own = self.endpoint(router, worker);
-        let health = if own.started_ms == 0 { own.health } else { Health::Gone };
-        let further = (1..self.names_per_worker).map(|number| Endpoint {
-            name: format!("{}-{number}", own.name),
+    /// The entries of a worker in the endpoint list of a router's discovery agent, one per name. A worker that started
+    /// recently has only its primary entry, because routers limit the load of a cold worker per name.
+    fn endpoints(&self, router: RouterIndex, worker: WorkerIndex) -> Vec<Endpoint> {
+        let primary = self.primary_endpoint(router, worker);
+        let health = if primary.started_ms == 0 { primary.health } else { Health::Gone };
+        let additional = (1..self.names_per_worker).map(|number| Endpoint {
+            name: format!("{}-{number}", primary.name),
             health,
             started_ms: 0,
-            ..own.clone()
+            ..primary.clone()
         });
-        let further: Vec<Endpoint> = further.collect();
-        std::iter::once(own).chain(further).collect()
+        let additional: Vec<Endpoint> = additional.collect();
+        std::iter::once(primary).chain(additional).collect()
     }
 
-    /// Sends the present state of a worker to all agents, after `delay`.
-    fn announce(self: &Arc<Self>, worker: WorkerIndex, delay: Duration) {
-        let entries: Vec<Vec<Endpoint>> =
-            (0..self.agents.len()).map(|router| self.entries(router, worker)).collect();
+    /// Sends the current entries of a worker to all agents after `delay`.
+    fn notify_agents(self: &Arc<Self>, worker: WorkerIndex, delay: Duration) {
+        let endpoints_by_router: Vec<Vec<Endpoint>> =
+            (0..self.agents.len()).map(|router| self.endpoints(router, worker)).collect();
         let update_agents = move |fleet: &Fleet| {
-            for (agent, entries) in fleet.agents.iter().zip(entries) {
-                agent.update(worker, entries);
+            for (agent, endpoints) in fleet.agents.iter().zip(endpoints_by_router) {
+                agent.update(worker, endpoints);
             }
         };
         if delay.is_zero() {
--- a/crates/fleet-emulator/src/http.rs
+++ b/crates/fleet-emulator/src/http.rs
@@ -1,21 +1,22 @@
-//! The part of HTTP/1.1 that the stand-ins need: heads, bodies of known length and chunked responses.
+//! The subset of HTTP/1.1 that the emulator needs: message heads, bodies with a `content-length` and chunked bodies.
 
 use std::io::{self, ErrorKind};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 const MAX_HEADERS: usize = 64;
 const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// The minimum free space of the buffer before a read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// The result of parsing: a head and its length in bytes, or `None` if more bytes are needed.
-pub type Parsed = io::Result<Option<(Head, usize)>>;
+/// The result of parsing a head: the head and its length in bytes, or `None` if it is incomplete.
+pub type ParsedHead = io::Result<Option<(Head, usize)>>;
 
 /// The head of a request or a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// The method of a request; empty in a response.
     pub method: String,
-    /// The path and query of a request; empty in a response.
+    /// The request target; empty in a response.
     pub target: String,
     /// The status of a response; 0 in a request.
     pub status: u16,
@@ -27,16 +28,16 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(known, _)| known.eq_ignore_ascii_case(name))
+            .find(|(header, _)| header.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
-    /// The length of the body according to its header; 0 without one.
+    /// The value of the `content-length` header; 0 if it is missing or invalid.
     pub fn content_length(&self) -> usize {
         self.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether the body comes in chunks.
+    /// Whether the body has the chunked transfer coding.
     pub fn is_chunked(&self) -> bool {
         self.header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked"))
     }
@@ -46,46 +47,50 @@
 ///
 /// # Errors
 /// The bytes are not the start of a valid request.
-pub fn parse_request(bytes: &[u8]) -> Parsed {
+pub fn parse_request(bytes: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let httparse::Status::Complete(length) = request.parse(bytes).map_err(invalid)? else { return Ok(None) };
+    let httparse::Status::Complete(length) = request.parse(bytes).map_err(invalid_data)? else {
+        return Ok(None);
+    };
     let method = request.method.unwrap_or_default().to_owned();
     let target = request.path.unwrap_or_default().to_owned();
-    Ok(Some((Head { method, target, status: 0, headers: owned(request.headers) }, length)))
+    Ok(Some((Head { method, target, status: 0, headers: to_owned_headers(request.headers) }, length)))
 }
 
 /// Parses the head of a response.
 ///
 /// # Errors
 /// The bytes are not the start of a valid response.
-pub fn parse_response(bytes: &[u8]) -> Parsed {
+pub fn parse_response(bytes: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(length) = response.parse(bytes).map_err(invalid)? else { return Ok(None) };
+    let httparse::Status::Complete(length) = response.parse(bytes).map_err(invalid_data)? else {
+        return Ok(None);
+    };
     let status = response.code.unwrap_or_default();
-    Ok(Some((Head { status, headers: owned(response.headers), ..Head::default() }, length)))
+    Ok(Some((Head { status, headers: to_owned_headers(response.headers), ..Head::default() }, length)))
 }
 
-fn owned(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
+fn to_owned_headers(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     headers.iter().map(|header| (header.name.to_owned(), text(header.value))).collect()
 }
 
-fn invalid(error: httparse::Error) -> io::Error {
+fn invalid_data(error: httparse::Error) -> io::Error {
     io::Error::new(ErrorKind::InvalidData, error)
 }
 
-/// What happens to a connection after a response.
+/// The further use of a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// It may carry another request.
+    /// The connection may carry another request.
     Reuse,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// Reads messages from a connection.
+/// A buffered reader of HTTP messages.
 #[derive(Debug)]
 pub struct MessageReader<R> {
     input: R,
@@ -93,18 +98,17 @@
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
-    /// Creates a reader for a connection from which nothing has been read.
+    /// Creates a reader for the start of a connection.
     pub fn new(input: R) -> Self {
         MessageReader { input, buffer: Vec::new() }
     }
 
-    /// Whether no byte of a next message has been read.
+    /// Whether no byte beyond the messages read so far is buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Reads more bytes, and returns whether there were any before the end of the input. Nothing is lost when the future
-    /// is dropped.
+    /// Reads more bytes into the buffer, and returns `false` at the end of the input. Cancel-safe.
     ///
     /// # Errors
     /// The connection broke.
@@ -113,7 +117,7 @@
         Ok(self.input.read_buf(&mut self.buffer).await? > 0)
     }
 
-    /// Reads the head of a request; `None` if the input ends before.
+    /// Reads the head of a request; `None` if the input ends first.
     ///
     /// # Errors
     /// The connection broke, or the head is malformed.
@@ -121,7 +125,7 @@
         self.read_head(parse_request).await
     }
 
-    /// Reads the head of a response; `None` if the input ends before.
+    /// Reads the head of a response; `None` if the input ends first.
     ///
     /// # Errors
     /// The connection broke, or the head is malformed.
@@ -129,14 +133,17 @@
         self.read_head(parse_response).await
     }
 
-    async fn read_head(&mut self, parse: fn(&[u8]) -> Parsed) -> io::Result<Option<Head>> {
+    async fn read_head(&mut self, parse: fn(&[u8]) -> ParsedHead) -> io::Result<Option<Head>> {
         loop {
             if let Some((head, length)) = parse(&self.buffer)? {
                 self.buffer.drain(..length);
                 return Ok(Some(head));
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(io::Error::new(ErrorKind::InvalidData, "the head exceeds the size limit"));
+                return Err(io::Error::new(
+                    ErrorKind::InvalidData,
+                    format!("message head exceeds {MAX_HEAD_BYTES} bytes"),
+                ));
             }
             if !self.fill().await? {
                 return Ok(None);
@@ -144,10 +151,10 @@
         }
     }
 
-    /// Reads a body of known length.
+    /// Reads a body of a given length in bytes.
     ///
     /// # Errors
-    /// The connection broke, or it ended before the body did.
+    /// The connection broke, or it ended before the end of the body.
     pub async fn read_body(&mut self, length: usize) -> io::Result<Vec<u8>> {
         while self.buffer.len() < length {
             if !self.fill().await? {
@@ -157,7 +164,7 @@
         Ok(self.buffer.drain(..length).collect())
     }
 
-    /// Reads one chunk of a body. An empty chunk is the last one.
+    /// Reads one chunk of a body. An empty chunk is the last one of the body.
     ///
     /// # Errors
     /// The connection broke, or the chunk is malformed.
@@ -178,7 +185,7 @@
     }
 }
 
-/// Encodes a chunk of a body.
-pub fn chunk(data: &str) -> Vec<u8> {
+/// Encodes a chunk of a chunked body.
+pub fn encode_chunk(data: &str) -> Vec<u8> {
     format!("{:x}\r\n{data}\r\n", data.len()).into_bytes()
 }
--- a/crates/fleet-emulator/src/link/mod.rs
+++ b/crates/fleet-emulator/src/link/mod.rs
@@ -196,7 +196,7 @@
 /// Removes the connections that fill the accept queue, so that new ones are established again.
 fn drain_accept_queue(listener: &TcpListener, fillers: &[BlockingStream]) {
     let _ = SockRef::from(listener).listen(BACKLOG);
-    // This may remove a connection of the router instead of a filler. No response was sent on it, so the router retries.
+    // This may remove a connection of the router instead of a filler. No data was forwarded on it, so the router retries.
     for _ in fillers {
         let _ = SockRef::from(listener).accept();
     }
--- a/crates/fleet-emulator/src/misbehaving_client.rs
+++ b/crates/fleet-emulator/src/misbehaving_client.rs
@@ -1,5 +1,5 @@
-//! Clients that send malformed or incomplete requests. A router has to reject each of them, or close its connection,
-//! within a few seconds.
+//! Emulated clients that send malformed, invalid or incomplete requests. A router must reject each request, or close its
+//! connection, within a few seconds.
 
 use crate::history::History;
 use crate::http::MessageReader;
@@ -10,42 +10,42 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The time after which a client stops waiting, which is longer than routers have.
+/// The time that a client waits for a rejection. It exceeds the time within which routers must reject.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
-/// The size of a head that never ends.
-const ENDLESS_BYTES: usize = 1 << 20;
+/// The number of bytes that are sent of a head without an end.
+const ENDLESS_HEAD_BYTES: usize = 1 << 20;
 
-static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
+static NEXT_CLIENT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// What a client does wrong.
+/// The misbehaviour of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientMisbehaviour {
-    /// It sends bytes that are not HTTP.
+    /// Sends bytes that are not HTTP.
     Garbage,
-    /// It sends a head that does not end.
+    /// Sends a head that does not end.
     EndlessHead,
-    /// It states the length of the body in two contradictory ways.
+    /// Sends both `content-length` and `transfer-encoding: chunked`.
     ConflictingLengths,
-    /// It states a length that is not a number.
+    /// Sends a negative `content-length`.
     InvalidLength,
-    /// It states a length that exceeds the limit.
+    /// Sends a `content-length` that exceeds the body limit of routers.
     ExcessiveLength,
-    /// It names a class that does not exist.
+    /// Names a request class that does not exist.
     UnknownClass,
-    /// It states a deadline that is not a duration.
+    /// Sends a deadline that is not a duration.
     InvalidDeadline,
-    /// It sends no request id.
+    /// Sends no request id.
     MissingRequestId,
-    /// It sends a part of the head and waits.
+    /// Sends an incomplete head and waits.
     IncompleteHead,
-    /// It sends a part of the body and waits.
+    /// Sends an incomplete body and waits.
     IncompleteBody,
-    /// It sends nothing.
+    /// Connects and sends no data.
     Silent,
 }
 
 impl ClientMisbehaviour {
-    /// All of them.
+    /// All kinds of misbehaviour.
     pub const ALL: [ClientMisbehaviour; 11] = [
         ClientMisbehaviour::Garbage,
         ClientMisbehaviour::EndlessHead,
@@ -60,7 +60,7 @@
         ClientMisbehaviour::Silent,
     ];
 
-    /// The name in records.
+    /// The name of the misbehaviour in records.
     pub fn name(self) -> &'static str {
         match self {
             ClientMisbehaviour::Garbage => "garbage",
@@ -77,35 +77,35 @@
         }
     }
 
-    /// What the client sends.
+    /// The bytes that client `number` sends.
     fn bytes(self, number: u64) -> Vec<u8> {
         let id = format!("x-request-id: bad{number}\r\n");
-        let valid = |rest: &str| request("safe", "3000m", &id, rest);
+        let with_valid_headers = |rest: &str| encode_request("safe", "3000m", &id, rest);
         const BODY: &str = "content-length: 2\r\n\r\n{}";
         match self {
             ClientMisbehaviour::Garbage => b"\x16\x03\x01 this is no http\r\n\r\n".to_vec(),
             ClientMisbehaviour::EndlessHead => {
                 let mut bytes = b"POST /v1/chat/completions HTTP/1.1\r\nx-filler: ".to_vec();
-                bytes.resize(ENDLESS_BYTES, b'x');
+                bytes.resize(ENDLESS_HEAD_BYTES, b'x');
                 bytes
             }
             ClientMisbehaviour::ConflictingLengths => {
-                valid("content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n")
+                with_valid_headers("content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n")
             }
-            ClientMisbehaviour::InvalidLength => valid("content-length: -7\r\n\r\n{}"),
-            ClientMisbehaviour::ExcessiveLength => valid("content-length: 60000000\r\n\r\n{}"),
-            ClientMisbehaviour::UnknownClass => request("nobody", "3000m", &id, BODY),
-            ClientMisbehaviour::InvalidDeadline => request("safe", "soon", &id, BODY),
-            ClientMisbehaviour::MissingRequestId => request("safe", "3000m", "", BODY),
-            ClientMisbehaviour::IncompleteHead => valid(""),
-            ClientMisbehaviour::IncompleteBody => valid("content-length: 100\r\n\r\n{}"),
+            ClientMisbehaviour::InvalidLength => with_valid_headers("content-length: -7\r\n\r\n{}"),
+            ClientMisbehaviour::ExcessiveLength => with_valid_headers("content-length: 60000000\r\n\r\n{}"),
+            ClientMisbehaviour::UnknownClass => encode_request("nobody", "3000m", &id, BODY),
+            ClientMisbehaviour::InvalidDeadline => encode_request("safe", "soon", &id, BODY),
+            ClientMisbehaviour::MissingRequestId => encode_request("safe", "3000m", "", BODY),
+            ClientMisbehaviour::IncompleteHead => with_valid_headers(""),
+            ClientMisbehaviour::IncompleteBody => with_valid_headers("content-length: 100\r\n\r\n{}"),
             ClientMisbehaviour::Silent => Vec::new(),
         }
     }
 }
 
-/// A request with these headers, followed by the rest of the head and the body.
-fn request(class: &str, deadline: &str, id_header: &str, rest: &str) -> Vec<u8> {
+/// Encodes a request with the given headers. `rest` is the remainder of the head, and the body.
+fn encode_request(class: &str, deadline: &str, id_header: &str, rest: &str) -> Vec<u8> {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\nx-class: {class}\r\nx-deadline: {deadline}\r\n\
          {id_header}{rest}"
@@ -113,20 +113,20 @@
     .into_bytes()
 }
 
-/// Misbehaves on a connection of its own and records whether the router rejected it.
+/// Runs one misbehaving client on a new connection, and records whether the router rejected it.
 pub async fn run_misbehaving_client(
     router: RouterIndex,
     address: SocketAddr,
     misbehaviour: ClientMisbehaviour,
     history: History,
 ) {
-    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_CLIENT_NUMBER.fetch_add(1, Ordering::Relaxed);
     let Ok(stream) = TcpStream::connect(address).await else { return };
     history.add(Record::MisbehavingClientConnected { router, misbehaviour: misbehaviour.name(), number });
     let (input, mut output) = stream.into_split();
     let mut reader = MessageReader::new(input);
     let exchange = async {
-        // A router that has responded may close the connection while the rest is still being sent.
+        // A router may reject the request and close the connection before the client has sent everything.
         let _ = output.write_all(&misbehaviour.bytes(number)).await;
         match reader.read_response().await {
             Ok(Some(head)) => head.status >= 400,
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -1,4 +1,4 @@
-//! The vocabulary of a run: what the stand-ins observe, and the terms in which they record it.
+//! The types of the observations that are recorded during a run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 pub type RouterIndex = usize;
 /// The position of a worker in the fleet, from 0.
 pub type WorkerIndex = usize;
-/// The number of a connection that a router opened to a worker, unique in a run.
+/// The id of a connection from a router to a worker, unique in a run.
 pub type ConnectionId = u64;
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeated execution is harmless.
+    /// Repeated execution is safe.
     Idempotent,
-    /// The request carries an idempotency key, by which the workers of one scope recognize a repetition for a limited
-    /// time.
+    /// The request carries an idempotency key, by which the workers of one scope recognize duplicates during the
+    /// deduplication window.
     Keyed(DeduplicationScope),
     /// The request must not be executed twice.
     NonIdempotent,
 }
 
-/// The set of workers that share their record of idempotency keys.
+/// The set of workers that share known idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers of the fleet.
@@ -35,7 +35,7 @@
     Cell,
 }
 
-/// The stage of a request that a worker serves.
+/// The stage of requests that a worker serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Computes the KV cache of a prompt and reserves it for a decode worker.
@@ -51,11 +51,11 @@
     Attempt,
     /// The release of a reserved KV cache.
     Release,
-    /// Anything else.
+    /// Any other call.
     Other,
 }
 
-/// How a client's connection ended when no response had arrived on it.
+/// The end of a client's connection on which no response had arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// The router closed the connection.
@@ -69,9 +69,9 @@
 /// A signal that the test harness sends to a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouterSignal {
-    /// SIGTERM: begin a graceful shutdown.
+    /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGKILL: end at once.
+    /// SIGKILL: terminate immediately.
     Kill,
     /// SIGHUP: reload the configuration.
     Reload,
@@ -81,7 +81,7 @@
     Resume,
 }
 
-/// One observation.
+/// An observation. Reports print the records of a request in `Debug` format.
 #[derive(Clone, Debug)]
 pub enum Record {
     /// A client wrote the first byte of a request.
@@ -92,12 +92,12 @@
         router: RouterIndex,
         /// Whether the request may be executed more than once.
         idempotency: Idempotency,
-        /// The number of requests that the connection had carried before this one.
+        /// The number of earlier requests on the same connection.
         prior_requests: u32,
-        /// Whether the client sends the request again because its first connection ended without a response.
+        /// Whether the client resends the request because its first connection ended without a response.
         is_resent: bool,
     },
-    /// A client wrote the last byte of a request. The deadline of the request counts from here.
+    /// A client wrote the last byte of a request, from which its deadline is counted.
     RequestSent {
         /// The request.
         request: RequestId,
@@ -123,25 +123,26 @@
         /// The request.
         request: RequestId,
     },
-    /// A response ended, at its proper end or before.
+    /// A response ended, completely or early.
     ResponseEnded {
         /// The request.
         request: RequestId,
-        /// Whether the response reached its proper end.
+        /// Whether the response reached its regular end.
         is_complete: bool,
-        /// Whether all events are those that one worker sent for this request, in order.
+        /// Whether the received events are those of one worker for this request, in order and without gaps.
         is_intact: bool,
-        /// The longest time that an event took from its worker to the client.
+        /// The longest delay of an event from its worker to the client.
         longest_delay: Duration,
     },
-    /// A client's connection ended before any byte of the response.
+    /// A client's connection ended before the first byte of a response.
     ConnectionEndedUnanswered {
         /// The request.
         request: RequestId,
         /// How the connection ended.
         end: ConnectionEnd,
     },
-    /// A client stopped waiting because nothing arrived until long after the deadline.
+    /// A client stopped waiting for data: the response did not start until long after the deadline, or its stream paused
+    /// for too long.
     ResponseTimedOut {
         /// The request.
         request: RequestId,
@@ -150,7 +151,7 @@
     MisbehavingClientConnected {
         /// The router.
         router: RouterIndex,
-        /// What the client does wrong.
+        /// The name of the misbehaviour.
         misbehaviour: &'static str,
         /// The number of the client, unique in a run.
         number: u64,
@@ -159,7 +160,7 @@
     MisbehavingClientEnded {
         /// The number of the client.
         number: u64,
-        /// Whether the router rejected the request or closed the connection. Success and silence are both wrong.
+        /// Whether the router rejected the request or closed the connection. A successful response or none is a failure.
         was_rejected: bool,
     },
     /// A router wrote the first byte of a call to a worker.
@@ -174,7 +175,7 @@
         worker: WorkerIndex,
         /// The connection that carries the call.
         connection: ConnectionId,
-        /// The time limit that the router gave the worker, counted from the first byte of the call.
+        /// The timeout that the router propagated to the worker, counted from the first byte of the call.
         propagated_timeout: Option<Duration>,
     },
     /// A router closed or reset a connection to a worker.
@@ -187,7 +188,7 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// The network stopped delivering what the worker sends on an open connection.
+    /// The network stopped delivering data on an open connection.
     ConnectionStalled {
         /// The connection.
         connection: ConnectionId,
@@ -203,7 +204,7 @@
         /// The connection that carries the call.
         connection: ConnectionId,
     },
-    /// A worker handed its response, or the end of its stream, to the network.
+    /// A worker finished a call: it starts to write its response or the end of its stream, or gives the call up.
     CallCompleted {
         /// The request.
         request: RequestId,
@@ -211,11 +212,11 @@
         worker: WorkerIndex,
         /// The connection that carries the call.
         connection: ConnectionId,
-        /// The status of the response, or 0 if the worker broke the connection instead.
+        /// The status of the response; 0 if the response is missing, truncated or malformed.
         status: u16,
         /// Whether the response proves that the request was not executed.
         had_no_effect: bool,
-        /// Whether the response reached its proper end.
+        /// Whether the worker sends the response up to its regular end.
         is_complete: bool,
     },
     /// A worker wrote the first event of a stream.
@@ -237,7 +238,7 @@
         /// The request.
         request: RequestId,
     },
-    /// A worker started.
+    /// The process of a worker started.
     WorkerStarted {
         /// The worker.
         worker: WorkerIndex,
@@ -247,7 +248,7 @@
         zone: u64,
         /// The cell of the worker.
         cell: u64,
-        /// Whether the process is new and has yet to warm up.
+        /// Whether the process is cold and has yet to warm up.
         is_cold: bool,
     },
     /// The process of a worker crashed.
@@ -255,7 +256,7 @@
         /// The worker.
         worker: WorkerIndex,
     },
-    /// A router's discovery agent received the update that a worker accepts no new work.
+    /// A router's discovery agent received the update that a worker drains or is gone.
     WorkerWithdrawn {
         /// The router.
         router: RouterIndex,
@@ -269,11 +270,11 @@
         /// The worker.
         worker: WorkerIndex,
     },
-    /// The watches of a discovery agent stalled, or the agent moved: updates may reach the router late.
+    /// The watches of a discovery agent stalled, or the agent moved, so updates may reach the router late.
     DiscoveryDisturbed {
         /// The router.
         router: RouterIndex,
-        /// The time from now until the router has to know of every earlier change again.
+        /// The time that the router has, from now on, to learn every earlier change.
         allowance: Duration,
     },
     /// A router process started.
@@ -297,21 +298,21 @@
     RouterExited {
         /// The router.
         router: RouterIndex,
-        /// Whether the process was killed, or was asked to terminate and reported success.
+        /// Whether the process exited because of SIGKILL, or successfully after SIGTERM.
         was_expected: bool,
         /// The exit status as text.
         status: String,
     },
-    /// A sample of the resources that a router process uses.
+    /// A sample of the resource usage of a router process.
     RouterResources {
         /// The router.
         router: RouterIndex,
-        /// Resident memory in kilobytes.
+        /// The resident memory in kilobytes.
         memory_kb: u64,
-        /// Open file descriptors.
+        /// The number of open file descriptors.
         descriptors: usize,
     },
-    /// A router logged a panic or a violation that it detected itself.
+    /// A router logged a panic, or a violation of an invariant that it checks itself.
     RouterErrorLogged {
         /// The router.
         router: RouterIndex,
@@ -328,9 +329,9 @@
         /// The name of the fault.
         name: String,
     },
-    /// The test harness itself was delayed, so that records of that time may carry late timestamps.
+    /// The test harness was delayed, so timestamps recorded during the delay may be late.
     HarnessDelayed {
-        /// The delay.
+        /// The length of the delay.
         by: Duration,
     },
 }
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::{Misbehaviour, Worker};
 use crate::clock::{self, Timestamp};
-use crate::http::{ConnectionUse, chunk};
+use crate::http::{ConnectionUse, encode_chunk};
 use crate::record::{ConnectionId, Record, RequestId, Role};
 use rand::Rng;
 use std::io;
@@ -143,10 +143,10 @@
         let worker = self.worker;
         if number > 0 {
             tokio::time::sleep(worker.slowed(worker.settings.event_interval, &self.misbehaviour)).await;
-            return self.write(&chunk(&self.event(number))).await;
+            return self.write(&encode_chunk(&self.event(number))).await;
         }
         let mut start = STREAM_HEAD.as_bytes().to_vec();
-        start.extend(chunk(&self.event(number)));
+        start.extend(encode_chunk(&self.event(number)));
         let (request, worker) = (self.request.clone(), worker.settings.index);
         self.record(Record::StreamStarted { request, worker });
         self.write(&start).await
@@ -168,8 +168,8 @@
              \"prompt_tokens_details\":{{\"cached_tokens\":16}}}}}}\n\n",
             events * TOKENS_PER_EVENT
         );
-        let mut end = chunk(&usage);
-        end.extend(chunk("data: [DONE]\n\n"));
+        let mut end = encode_chunk(&usage);
+        end.extend(encode_chunk("data: [DONE]\n\n"));
         end.extend(b"0\r\n\r\n");
         self.record_completion(200, false, true);
         self.write(&end).await?;
