--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -1,39 +1,39 @@
 //! The control block that a test harness shares with the fault shim of one process.
 //!
-//! The block is a small file of 64-bit little-endian words. The harness writes it with [`ControlBlock`]; the shim maps it
-//! into the process under test and reads it at each intercepted system call, so faults can be switched on and off while
-//! the process runs. This crate alone defines the layout of the block, and both sides depend on it.
+//! The block is a small file of 64-bit little-endian words. The harness writes it through [`ControlBlock`]. The shim maps
+//! it into the process under test and reads it at each intercepted system call, so that faults can be switched on and
+//! off while the process runs. Both sides take the layout of the block from this crate.
 
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// The environment variable with the path of a process's control file.
+/// The environment variable that holds the path of a process's control file.
 pub const CONTROL_FILE_VARIABLE: &str = "FAULT_SHIM_CONTROL";
-/// The unit of probabilities in the block: the value that stands for a probability of 1.
+/// The value in the block that stands for a probability of 1.
 pub const PROBABILITY_SCALE: u64 = 1_000_000;
 /// The number of words in the block.
 pub const BLOCK_WORDS: usize = 64;
 /// The size of the block in bytes.
 pub const BLOCK_BYTES: usize = BLOCK_WORDS * WORD_BYTES;
-/// The word with the offset of the wall clock: a signed number of microseconds.
+/// The word with the signed offset of the wall clock in microseconds.
 pub const WALL_CLOCK_WORD: usize = 0;
 
 const WORD_BYTES: usize = 8;
-/// The word with the probability or period of the first fault. Those of the other faults follow.
-const FIRST_PROBABILITY: usize = 1;
-/// The word with the count of the first fault. Those of the other faults follow.
-const FIRST_COUNT: usize = 32;
+/// The word with the probability or period of the first fault. The words of the other faults follow.
+const FIRST_PROBABILITY_WORD: usize = 1;
+/// The word with the injection count of the first fault. The words of the other faults follow.
+const FIRST_COUNT_WORD: usize = 32;
 
-/// The flag that marks the word of a fault as a period: one of that many calls fails, at regular intervals. Without the
-/// flag, the word is a probability.
+/// The flag that marks the word of a fault as a period: the fault is injected into every n-th call. Without the flag, the
+/// word is a probability.
 pub const PERIOD_FLAG: u64 = 1 << 63;
 
-/// A fault that the shim injects into system calls.
+/// A fault that the shim can inject into system calls. The discriminant determines the words of the fault in the block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCallFault {
-    /// `accept` fails with ECONNABORTED. The connection stays in the accept queue.
+    /// `accept` fails with ECONNABORTED. The pending connection stays in the accept queue.
     AcceptAborted,
     /// `accept` fails with ENFILE.
     AcceptFileTableFull,
@@ -53,22 +53,22 @@
     WriteInterrupted,
     /// `poll` fails with EINTR.
     PollInterrupted,
-    /// A read of a socket returns only a part of the bytes that have arrived.
+    /// A read of a socket returns only a part of the available bytes.
     ShortRead,
-    /// A write to a socket writes only a part of its bytes.
+    /// A write to a socket transfers only a part of its bytes.
     ShortWrite,
     /// A write to a socket fails with ENOBUFS.
     WriteNoBuffers,
     /// A read of a regular file fails with EIO.
     FileReadFails,
-    /// A read of a regular file returns only a part of the bytes that are available.
+    /// A read of a regular file returns only a part of the available bytes.
     FileShortRead,
     /// A write to standard error fails with ENOSPC.
     LogFull,
 }
 
 impl SystemCallFault {
-    /// All faults.
+    /// All faults, in the order of their words in the block.
     pub const ALL: [SystemCallFault; 16] = [
         SystemCallFault::AcceptAborted,
         SystemCallFault::AcceptFileTableFull,
@@ -90,23 +90,23 @@
 
     /// The word with the probability or the period of the fault.
     pub const fn probability_word(self) -> usize {
-        FIRST_PROBABILITY + self as usize
+        FIRST_PROBABILITY_WORD + self as usize
     }
 
-    /// The word in which the shim counts how often it injected the fault.
+    /// The word in which the shim counts the injections of the fault.
     pub const fn count_word(self) -> usize {
-        FIRST_COUNT + self as usize
+        FIRST_COUNT_WORD + self as usize
     }
 }
 
-/// A control block, as the harness writes it.
+/// The harness's side of a control block.
 #[derive(Debug)]
 pub struct ControlBlock {
     file: File,
 }
 
 impl ControlBlock {
-    /// Creates the file of a block in which all faults are off.
+    /// Creates the control file, with all faults off.
     ///
     /// # Errors
     /// The file can't be created or written.
@@ -116,17 +116,17 @@
         Ok(ControlBlock { file })
     }
 
-    /// Sets the probability of a fault, from 0 to 1. It replaces a period.
+    /// Sets the probability of a fault per call, from 0 to 1. It replaces a period.
     ///
     /// # Errors
     /// The file can't be written.
     pub fn set_probability(&self, fault: SystemCallFault, probability: f64) -> io::Result<()> {
-        let millionths = (probability.clamp(0.0, 1.0) * PROBABILITY_SCALE as f64) as u64;
-        self.write_word(fault.probability_word(), millionths)
+        let word = (probability.clamp(0.0, 1.0) * PROBABILITY_SCALE as f64) as u64;
+        self.write_word(fault.probability_word(), word)
     }
 
-    /// Injects a fault into every `period`-th call that it applies to, or into none if `period` is 0. This replaces a
-    /// probability.
+    /// Injects a fault into every `period`-th call to which it applies, or into none if `period` is 0. The period replaces
+    /// a probability.
     ///
     /// # Errors
     /// The file can't be written.
@@ -135,7 +135,7 @@
         self.write_word(fault.probability_word(), word)
     }
 
-    /// Sets the offset of the process's wall clock.
+    /// Sets the offset of the process's wall clock in microseconds.
     ///
     /// # Errors
     /// The file can't be written.
@@ -143,21 +143,22 @@
         self.write_word(WALL_CLOCK_WORD, microseconds as u64)
     }
 
-    /// How often the shim has injected a fault.
+    /// The number of times that the shim has injected a fault.
     ///
     /// # Errors
     /// The file can't be read.
     pub fn injection_count(&self, fault: SystemCallFault) -> io::Result<u64> {
         let mut bytes = [0; WORD_BYTES];
-        self.file.read_exact_at(&mut bytes, offset(fault.count_word()))?;
+        self.file.read_exact_at(&mut bytes, byte_offset(fault.count_word()))?;
         Ok(u64::from_le_bytes(bytes))
     }
 
     fn write_word(&self, word: usize, value: u64) -> io::Result<()> {
-        self.file.write_all_at(&value.to_le_bytes(), offset(word))
+        self.file.write_all_at(&value.to_le_bytes(), byte_offset(word))
     }
 }
 
-fn offset(word: usize) -> u64 {
+/// The offset of a word in the file in bytes.
+fn byte_offset(word: usize) -> u64 {
     (word * WORD_BYTES) as u64
 }
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,4 +1,4 @@
-//! The control block as the shim reads it. It is mapped into the process when the library is loaded.
+//! The shim's side of the control block, which is mapped into the process when the library is loaded.
 
 use fault_plan::{
     BLOCK_BYTES, BLOCK_WORDS, CONTROL_FILE_VARIABLE, PERIOD_FLAG, PROBABILITY_SCALE, SystemCallFault,
@@ -12,18 +12,18 @@
 type Block = [AtomicU64; BLOCK_WORDS];
 
 static BLOCK: OnceLock<&'static Block> = OnceLock::new();
-/// For each fault: the number of calls so far that it applied to while it had a period.
-static CALLS: [AtomicU64; SystemCallFault::ALL.len()] =
+/// For each fault: the number of calls so far to which it applied while it had a period.
+static PERIODIC_CALLS: [AtomicU64; SystemCallFault::ALL.len()] =
     [const { AtomicU64::new(0) }; SystemCallFault::ALL.len()];
-/// The state of the generator from which probabilities are drawn.
+/// The state of the random number generator that decides on faults with a probability.
 static RANDOM_STATE: AtomicU64 = AtomicU64::new(0);
 
 #[used]
 #[unsafe(link_section = ".init_array")]
 static INITIALIZE: extern "C" fn() = initialize;
 
-/// Maps the control block before `main`. Until then, and without a block, no fault is injected. The generator starts from
-/// the process id, so that processes draw different faults.
+/// Maps the control block before `main` runs. Until then, and without a block, no fault is injected. The process id seeds
+/// the random number generator, so that processes draw different faults.
 extern "C" fn initialize() {
     if let Some(block) = map_block() {
         let _ = BLOCK.set(block);
@@ -33,13 +33,13 @@
 
 fn map_block() -> Option<&'static Block> {
     let path = CString::new(std::env::var_os(CONTROL_FILE_VARIABLE)?.as_bytes()).ok()?;
-    // SAFETY: the path is a valid C string, and no other code uses the descriptor.
+    // SAFETY: the path is a valid C string, and no other code uses the returned descriptor.
     let fd = unsafe { libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC) };
     if fd < 0 {
         return None;
     }
     let protection = libc::PROT_READ | libc::PROT_WRITE;
-    // SAFETY: this is a new mapping at an address that the kernel chooses. It outlives the descriptor and is never unmapped.
+    // SAFETY: this is a new mapping at an address chosen by the kernel. It outlives the descriptor and is never unmapped.
     let address = unsafe {
         let address = libc::mmap(std::ptr::null_mut(), BLOCK_BYTES, protection, libc::MAP_SHARED, fd, 0);
         libc::close(fd);
@@ -48,24 +48,24 @@
     if address == libc::MAP_FAILED {
         return None;
     }
-    // SAFETY: the mapping is page-aligned, has the size of the block and lasts until the end of the process. This side
-    // accesses all of its words as atomics.
+    // SAFETY: the mapping is page-aligned, has the size of the block and lasts until the process exits. The shim accesses
+    // all words as atomics.
     Some(unsafe { &*address.cast::<Block>() })
 }
 
-/// Decides whether a fault is injected into the present call, and counts it if so.
-pub fn is_injected(fault: SystemCallFault) -> bool {
+/// Decides whether to inject a fault into the current call. Counts each injection.
+pub fn should_inject(fault: SystemCallFault) -> bool {
     let Some(block) = BLOCK.get() else { return false };
     let word = block[fault.probability_word()].load(Ordering::Relaxed);
-    let is_due = match word {
+    let injects = match word {
         0 => false,
         period if period & PERIOD_FLAG != 0 => {
-            let call = CALLS[fault as usize].fetch_add(1, Ordering::Relaxed) + 1;
+            let call = PERIODIC_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed) + 1;
             call.is_multiple_of(period & !PERIOD_FLAG)
         }
         probability => next_random() % PROBABILITY_SCALE < probability,
     };
-    if !is_due {
+    if !injects {
         return false;
     }
     block[fault.count_word()].fetch_add(1, Ordering::Relaxed);
@@ -73,7 +73,7 @@
 }
 
 /// The offset of the wall clock in microseconds.
-pub fn wall_clock_offset() -> i64 {
+pub fn wall_clock_offset_us() -> i64 {
     BLOCK.get().map_or(0, |block| block[WALL_CLOCK_WORD].load(Ordering::Relaxed) as i64)
 }
 
--- a/crates/fault-shim/src/real.rs
+++ b/crates/fault-shim/src/real.rs
@@ -1,11 +1,11 @@
-//! The functions of the C library that this library replaces.
+//! The C library's definitions of the functions that this library replaces.
 
 use libc::{c_int, c_void, iovec, nfds_t, pollfd, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// Defines functions that call the next definition of the same name in the dynamic linker's search order, which is that
-/// of the C library.
+/// Defines functions that forward to the next definition of the same name in the dynamic linker's search order, which is
+/// the C library's.
 macro_rules! forward {
     ($($name:ident($($argument:ident: $kind:ty),*) -> $result:ty;)*) => {$(
         pub unsafe fn $name($($argument: $kind),*) -> $result {
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -1,4 +1,4 @@
-//! The router with the fault shim loaded: system calls fail when the test says so.
+//! A router process with the fault shim preloaded, whose system calls a test can make fail.
 
 use super::RouterProcess;
 use fault_plan::{CONTROL_FILE_VARIABLE, ControlBlock, SystemCallFault};
@@ -8,32 +8,33 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// Descriptors that the router is granted.
-const DESCRIPTORS: usize = 1024;
+/// The file descriptor limit of the router.
+const MAX_DESCRIPTORS: usize = 1024;
 
-/// A router under the shim, without any fault yet.
+/// A router process with the fault shim preloaded.
 pub struct ShimmedRouter {
-    /// The router.
+    /// The router process.
     pub router: RouterProcess,
-    /// Says which system calls fail.
+    /// The control block, which selects the system calls that fail.
     pub control: ControlBlock,
     _control_file: ControlFile,
 }
 
-/// The file through which the test and the shim share the control block; dropping this removes it.
+/// The path of the file that holds the control block. The file is removed on drop.
 struct ControlFile(PathBuf);
 
 impl ShimmedRouter {
-    /// Starts a router with this operator's file.
+    /// Starts a router with the given operator's file and without faults.
     pub fn start(operator_file: &str) -> ShimmedRouter {
-        let (control, control_file) = new_control();
+        let (control, control_file) = create_control_block();
         let router = start_shimmed(operator_file, &control_file);
         ShimmedRouter { router, control, _control_file: control_file }
     }
 
-    /// Starts a router while the calls that the fault applies to fail, until the first of them has failed.
-    pub fn start_under(operator_file: &str, fault: SystemCallFault) -> ShimmedRouter {
-        let (control, control_file) = new_control();
+    /// Starts a router while every call to which the fault applies fails. The fault is switched off as soon as one call has
+    /// failed.
+    pub fn start_with_initial_fault(operator_file: &str, fault: SystemCallFault) -> ShimmedRouter {
+        let (control, control_file) = create_control_block();
         control.set_period(fault, 1).unwrap();
         let router = std::thread::scope(|scope| {
             scope.spawn(|| {
@@ -48,18 +49,18 @@
     }
 }
 
-fn new_control() -> (ControlBlock, ControlFile) {
+fn create_control_block() -> (ControlBlock, ControlFile) {
     let control_file = ControlFile::new();
     (ControlBlock::create(&control_file.0).unwrap(), control_file)
 }
 
 fn start_shimmed(operator_file: &str, control_file: &ControlFile) -> RouterProcess {
-    let environment = [("LD_PRELOAD", shim()), (CONTROL_FILE_VARIABLE, control_file.0.as_path())];
-    RouterProcess::start_in(DESCRIPTORS, operator_file, &environment)
+    let environment = [("LD_PRELOAD", shim_library()), (CONTROL_FILE_VARIABLE, control_file.0.as_path())];
+    RouterProcess::start_in(MAX_DESCRIPTORS, operator_file, &environment)
 }
 
 impl ControlFile {
-    /// A path that no other router of this machine uses.
+    /// Creates a path that no other router on this host uses.
     fn new() -> ControlFile {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -74,13 +75,13 @@
     }
 }
 
-/// The shim's library, built beside the router.
-fn shim() -> &'static Path {
-    static SHIM: OnceLock<PathBuf> = OnceLock::new();
-    SHIM.get_or_init(|| {
-        let built =
+/// Builds the shim once, and returns the path of its library in the router's folder.
+fn shim_library() -> &'static Path {
+    static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
+    LIBRARY.get_or_init(|| {
+        let build_status =
             Command::new(env!("CARGO")).args(["build", "--locked", "-p", "fault-shim"]).status().unwrap();
-        assert!(built.success());
+        assert!(build_status.success());
         let router = PathBuf::from(env!("CARGO_BIN_EXE_llm-router"));
         router.with_file_name("libfault_shim.so")
     })
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail as Linux documents, under a real router process.
+//! A router process whose system calls fail in the ways that the Linux manual pages document.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use support::shim::ShimmedRouter;
 use support::*;
 
-/// A router with a prefill and a decode worker, and the two workers.
+/// Starts a router with one prefill and one decode worker. Returns it and the workers.
 fn start_router() -> (ShimmedRouter, [Peer; 2]) {
     let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
     let shimmed = ShimmedRouter::start(&operator_file(&[prefill.address], &[decode.address], ""));
     (shimmed, [prefill, decode])
 }
 
-/// Sends requests one after the other, each of which must be answered completely.
+/// Sends requests sequentially, and asserts that each gets a complete response.
 fn send_requests(router: &RouterProcess, requests: usize) {
     for number in 0..requests {
         let answer = router.request(&format!("id-{number}"), "send");
@@ -22,10 +22,10 @@
     }
 }
 
-/// Guards against connections that are closed because a call was interrupted by a signal: of 1,700 requests
-/// 200 got no answer while one call in four was interrupted.
+/// Guards against connections that are closed because a signal interrupted a system call: with one call in four
+/// interrupted, 200 of 1,700 requests got no response.
 #[test]
-fn interrupted_calls_end_no_connection() {
+fn interrupted_system_calls_close_no_connection() {
     let (shimmed, _workers) = start_router();
     for fault in [Fault::ReadInterrupted, Fault::WriteInterrupted, Fault::PollInterrupted] {
         shimmed.control.set_period(fault, 2).unwrap();
@@ -35,15 +35,14 @@
     let counters = shimmed.router.stop();
     assert_eq!(
         ["requests_received", "attempts_sent", "attempts_prefill_completed", "attempts_completed"]
-            .map(|c| counters.get(c)),
+            .map(|name| counters.get(name)),
         [20, 40, 20, 20]
     );
 }
 
-/// Guards against clients that lose their connections because another connection was gone before it was
-/// accepted.
+/// Guards against open connections that are evicted because `accept` failed with ECONNABORTED for another one.
 #[test]
-fn a_connection_gone_before_its_accept_affects_no_other_one() {
+fn an_aborted_accept_affects_no_other_connection() {
     let (shimmed, _workers) = start_router();
     let mut idle = BufReader::new(shimmed.router.connect());
     idle.get_mut().write_all(request("idle-1", "send", "hello").as_bytes()).unwrap();
@@ -55,9 +54,9 @@
     assert_eq!(shimmed.router.stop().get("connections_evicted"), 0);
 }
 
-/// Guards against local failures that count as worker failures, or use up a request's attempts.
+/// Guards against local connect failures that count as worker failures or use up the attempts of a request.
 #[test]
-fn a_connect_that_fails_locally_costs_no_attempt() {
+fn a_local_connect_failure_uses_up_no_attempt() {
     for fault in [Fault::ConnectNoAddress, Fault::ConnectUnreachable, Fault::ConnectNoBuffers] {
         let (shimmed, _workers) = start_router();
         shimmed.control.set_period(fault, 2).unwrap();
@@ -66,24 +65,24 @@
         let counters = shimmed.router.stop();
         let expected = [20, 40, 0, 0];
         let counted = ["requests_received", "attempts_sent", "attempts_connect_failed", "attempts_not_sent"]
-            .map(|c| counters.get(c));
+            .map(|name| counters.get(name));
         assert_eq!(counted, expected, "{fault:?}");
     }
 }
 
-/// Guards against answers that are lost while the machine is short of memory for a moment.
+/// Guards against responses that are lost when the host is briefly short of socket buffer space.
 #[test]
-fn a_write_without_buffer_space_is_repeated() {
+fn a_write_without_buffer_space_is_retried() {
     let (shimmed, _workers) = start_router();
     shimmed.control.set_period(Fault::WriteNoBuffers, 2).unwrap();
     send_requests(&shimmed.router, 20);
     assert_eq!(shimmed.router.stop().get("attempts_completed"), 20);
 }
 
-/// Guards against endpoint updates that stay in the kernel's buffer: the async runtime took a short read for
-/// a sign that nothing more had arrived.
+/// Guards against endpoint updates that stay in the kernel's receive buffer: the async runtime took a short read to mean
+/// that the buffer was empty.
 #[test]
-fn a_watch_in_short_reads_is_followed_at_once() {
+fn updates_on_a_watch_are_applied_at_once_despite_short_reads() {
     let (agent, updates) = discovery_agent();
     let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
     let discovery = format!("discovery = \"{}\"\n", agent.address);
@@ -96,11 +95,11 @@
     assert_eq!(shimmed.router.request("id-late", "send").status(), 503);
 }
 
-/// Guards against a router that refuses to start because the machine has no descriptor left at that moment.
+/// Guards against a router that fails to start because the host's file table is briefly full.
 #[test]
-fn a_start_fails_for_want_of_a_descriptor_for_a_moment() {
+fn a_router_starts_although_the_file_table_is_briefly_full() {
     let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
     let file = operator_file(&[prefill.address], &[decode.address], "");
-    let shimmed = ShimmedRouter::start_under(&file, Fault::SocketFileTableFull);
+    let shimmed = ShimmedRouter::start_with_initial_fault(&file, Fault::SocketFileTableFull);
     send_requests(&shimmed.router, 1);
 }
