--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -1,8 +1,9 @@
 //! The control block that a test harness shares with the fault shim of one process.
 //!
-//! The block is a small file of 64-bit little-endian words. The harness writes it through [`ControlBlock`]. The shim maps
-//! it into the process under test and reads it at each intercepted system call, so that faults can be switched on and
-//! off while the process runs. Both sides take the layout of the block from this crate.
+//! The block is a small file of 64-bit little-endian words. The harness writes it through [`ControlBlock`].
+//! The shim maps it into the process under test and reads it at each intercepted system call, so that faults
+//! can be switched on and off while the process runs. Both sides take the layout of the block from this
+//! crate.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -26,11 +27,12 @@
 /// The word with the injection count of the first fault. The words of the other faults follow.
 const FIRST_COUNT_WORD: usize = 32;
 
-/// The flag that marks the word of a fault as a period: the fault is injected into every n-th call. Without the flag, the
-/// word is a probability.
+/// The flag that marks the word of a fault as a period: the fault is injected into every n-th call. Without
+/// the flag, the word is a probability.
 pub const PERIOD_FLAG: u64 = 1 << 63;
 
-/// A fault that the shim can inject into system calls. The discriminant determines the words of the fault in the block.
+/// A fault that the shim can inject into system calls. The discriminant determines the words of the fault in
+/// the block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCallFault {
     /// `accept` fails with ECONNABORTED. The pending connection stays in the accept queue.
@@ -125,8 +127,8 @@
         self.write_word(fault.probability_word(), word)
     }
 
-    /// Injects a fault into every `period`-th call to which it applies, or into none if `period` is 0. The period replaces
-    /// a probability.
+    /// Injects a fault into every `period`-th call to which it applies, or into none if `period` is 0. The
+    /// period replaces a probability.
     ///
     /// # Errors
     /// The file can't be written.
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -22,8 +22,8 @@
 #[unsafe(link_section = ".init_array")]
 static INITIALIZE: extern "C" fn() = initialize;
 
-/// Maps the control block before `main` runs. Until then, and without a block, no fault is injected. The process id seeds
-/// the random number generator, so that processes draw different faults.
+/// Maps the control block before `main` runs. Until then, and without a block, no fault is injected. The
+/// process id seeds the random number generator, so that processes draw different faults.
 extern "C" fn initialize() {
     if let Some(block) = map_block() {
         let _ = BLOCK.set(block);
@@ -39,7 +39,8 @@
         return None;
     }
     let protection = libc::PROT_READ | libc::PROT_WRITE;
-    // SAFETY: this is a new mapping at an address chosen by the kernel. It outlives the descriptor and is never unmapped.
+    // SAFETY: this is a new mapping at an address chosen by the kernel. It outlives the descriptor and is
+    // never unmapped.
     let address = unsafe {
         let address = libc::mmap(std::ptr::null_mut(), BLOCK_BYTES, protection, libc::MAP_SHARED, fd, 0);
         libc::close(fd);
@@ -48,8 +49,8 @@
     if address == libc::MAP_FAILED {
         return None;
     }
-    // SAFETY: the mapping is page-aligned, has the size of the block and lasts until the process exits. The shim accesses
-    // all words as atomics.
+    // SAFETY: the mapping is page-aligned, has the size of the block and lasts until the process exits. The
+    // shim accesses all words as atomics.
     Some(unsafe { &*address.cast::<Block>() })
 }
 
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,9 @@
-//! A library for `LD_PRELOAD` that injects faults into the system calls of a process under test. Each fault is a result
-//! that the Linux manual pages document for the call.
+//! A library for `LD_PRELOAD` that injects faults into the system calls of a process under test. Each fault
+//! is a result that the Linux manual pages document for the call.
 //!
 //! The control block of [`fault_plan`] selects the faults. The environment variable
-//! [`fault_plan::CONTROL_FILE_VARIABLE`] holds its path. Without a control block, the library only forwards calls. Faults
-//! affect only IPv4 and IPv6 sockets, regular files and standard error.
+//! [`fault_plan::CONTROL_FILE_VARIABLE`] holds its path. Without a control block, the library only forwards
+//! calls. Faults affect only IPv4 and IPv6 sockets, regular files and standard error.
 
 mod control;
 mod real;
--- a/crates/fault-shim/src/real.rs
+++ b/crates/fault-shim/src/real.rs
@@ -4,8 +4,8 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// Defines functions that forward to the next definition of the same name in the dynamic linker's search order, which is
-/// the C library's.
+/// Defines functions that forward to the next definition of the same name in the dynamic linker's search
+/// order, which is the C library's.
 macro_rules! forward {
     ($($name:ident($($argument:ident: $kind:ty),*) -> $result:ty;)*) => {$(
         pub unsafe fn $name($($argument: $kind),*) -> $result {
--- a/crates/fleet-emulator/src/agent/endpoints.rs
+++ b/crates/fleet-emulator/src/agent/endpoints.rs
@@ -87,7 +87,8 @@
         self.message(true, |versioned| versioned.endpoint.health != Health::Gone)
     }
 
-    /// A delta with the endpoints that changed after a version, or a snapshot if the list has not reached that version.
+    /// A delta with the endpoints that changed after a version, or a snapshot if the list has not reached
+    /// that version.
     pub(super) fn delta_since(&self, version: u64) -> EndpointMessage {
         if version > self.version {
             return self.snapshot();
--- a/crates/fleet-emulator/src/agent/mod.rs
+++ b/crates/fleet-emulator/src/agent/mod.rs
@@ -77,8 +77,8 @@
         Ok(agent)
     }
 
-    /// Moves the agent to another address. It accepts no more connections on the old one and closes the open ones after
-    /// a delay.
+    /// Moves the agent to another address. It accepts no more connections on the old one and closes the open
+    /// ones after a delay.
     ///
     /// # Errors
     /// The address is in use.
@@ -111,8 +111,8 @@
         lock(&self.endpoints).snapshot()
     }
 
-    /// Updates the entries of a worker. An unavailable agent defers the update until it is available. The first entry is
-    /// the primary one of the worker; the others list it under additional names.
+    /// Updates the entries of a worker. An unavailable agent defers the update until it is available. The
+    /// first entry is the primary one of the worker; the others list it under additional names.
     pub fn update(&self, worker: WorkerIndex, entries: Vec<Endpoint>) {
         if self.state.borrow().is_unavailable {
             lock(&self.deferred_updates).push((worker, entries));
--- a/crates/fleet-emulator/src/client/events.rs
+++ b/crates/fleet-emulator/src/client/events.rs
@@ -5,7 +5,8 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// The events received so far, and the check that they are the unaltered stream of one worker for the request.
+/// The events received so far, and the check that they are the unaltered stream of one worker for the
+/// request.
 pub(super) struct EventStream {
     request: RequestId,
     /// The bytes of an incomplete event.
--- a/crates/fleet-emulator/src/client/mod.rs
+++ b/crates/fleet-emulator/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Emulated clients that send valid requests and record the responses. They may write slowly or disconnect early.
+//! Emulated clients that send valid requests and record the responses. They may write slowly or disconnect
+//! early.
 
 mod events;
 mod request;
@@ -28,7 +29,8 @@
 /// The behaviour of a client during one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehaviour {
-    /// The time from the end of the request until the client disconnects, unless the response has ended by then.
+    /// The time from the end of the request until the client disconnects, unless the response has ended by
+    /// then.
     pub disconnects_after: Option<Duration>,
     /// Whether the client writes the request slowly.
     pub writes_slowly: bool,
@@ -87,10 +89,11 @@
         !lock(&self.idle_connections).is_empty()
     }
 
-    /// Sends a request on an idle connection, or on a new one if there is none, and waits for the end of the response.
+    /// Sends a request on an idle connection, or on a new one if there is none, and waits for the end of the
+    /// response.
     ///
-    /// If a reused connection ends without a response, the router may have closed it before the request arrived, so the
-    /// request is sent once more on a new connection.
+    /// If a reused connection ends without a response, the router may have closed it before the request
+    /// arrived, so the request is sent once more on a new connection.
     pub async fn send(&self, request: &Request, behaviour: ClientBehaviour) -> Outcome {
         let idle = lock(&self.idle_connections).pop();
         let is_reused = idle.is_some();
--- a/crates/fleet-emulator/src/clock.rs
+++ b/crates/fleet-emulator/src/clock.rs
@@ -74,7 +74,8 @@
 /// Sleeps until a deadline. Returns immediately if it has passed.
 pub async fn sleep_until(deadline: Timestamp) {
     let remaining = deadline.since(now());
-    // Even a sleep of zero length is pending at its first poll, so it would lose to later branches of a biased `select!`.
+    // Even a sleep of zero length is pending at its first poll, so it would lose to later branches of a
+    // biased `select!`.
     if !remaining.is_zero() {
         tokio::time::sleep(remaining).await;
     }
--- a/crates/fleet-emulator/src/fleet.rs
+++ b/crates/fleet-emulator/src/fleet.rs
@@ -77,8 +77,8 @@
 }
 
 impl Fleet {
-    /// Starts a fleet without workers. Each worker that started long ago is listed under `names_per_worker` names. Routers
-    /// treat these as separate workers, so that a few emulated workers make up a large fleet.
+    /// Starts a fleet without workers. Each worker that started long ago is listed under `names_per_worker`
+    /// names. Routers treat these as separate workers, so that a few emulated workers make up a large fleet.
     ///
     /// # Errors
     /// An address is in use.
@@ -122,7 +122,8 @@
         self.members()[worker].health
     }
 
-    /// Adds a worker. Its process is cold and has just started, or started long ago. Agents list it after `delay`.
+    /// Adds a worker. Its process is cold and has just started, or started long ago. Agents list it after
+    /// `delay`.
     ///
     /// # Errors
     /// An address is in use.
@@ -195,8 +196,9 @@
         }
     }
 
-    /// The entries of a worker in the endpoint list of a router's discovery agent, one per name. A worker that started
-    /// recently has only its primary entry, because routers limit the load of a cold worker per name.
+    /// The entries of a worker in the endpoint list of a router's discovery agent, one per name. A worker
+    /// that started recently has only its primary entry, because routers limit the load of a cold worker per
+    /// name.
     fn endpoints(&self, router: RouterIndex, worker: WorkerIndex) -> Vec<Endpoint> {
         let primary = self.primary_endpoint(router, worker);
         let health = if primary.started_ms == 0 { primary.health } else { Health::Gone };
--- a/crates/fleet-emulator/src/http.rs
+++ b/crates/fleet-emulator/src/http.rs
@@ -1,4 +1,5 @@
-//! The subset of HTTP/1.1 that the emulator needs: message heads, bodies with a `content-length` and chunked bodies.
+//! The subset of HTTP/1.1 that the emulator needs: message heads, bodies with a `content-length` and chunked
+//! bodies.
 
 use std::io::{self, ErrorKind};
 use tokio::io::{AsyncRead, AsyncReadExt};
--- a/crates/fleet-emulator/src/link/connection.rs
+++ b/crates/fleet-emulator/src/link/connection.rs
@@ -50,8 +50,8 @@
 }
 
 impl<'a> ProxiedConnection<'a> {
-    /// Creates the state of an accepted connection. `first_byte_at` is the time of the router's first byte, if that
-    /// arrived before forwarding starts.
+    /// Creates the state of an accepted connection. `first_byte_at` is the time of the router's first byte,
+    /// if that arrived before forwarding starts.
     pub(super) fn new(
         link: &'a Link,
         state: watch::Receiver<LinkState>,
@@ -75,8 +75,8 @@
         self.is_closed_by_router
     }
 
-    /// Forwards data in both directions until either side closes the connection. While the link is unresponsive, it
-    /// forwards neither data nor a close by the router.
+    /// Forwards data in both directions until either side closes the connection. While the link is
+    /// unresponsive, it forwards neither data nor a close by the router.
     pub(super) async fn forward(&mut self, stream: &TcpStream, worker: DuplexStream) -> CloseKind {
         let (mut from_worker, mut to_worker) = tokio::io::split(worker);
         let mut response = vec![0; READ_BYTES];
@@ -97,7 +97,8 @@
             }
             let close_at = self.idle_since().zip(state.idle_close_after).map(|(since, after)| since + after);
             tokio::select! {
-                // Changes of the link state, and a close or reset that is due, take precedence over data that is ready.
+                // Changes of the link state, and a close or reset that is due, take precedence over data that
+                // is ready.
                 biased;
                 _ = self.state.changed() => {}
                 () = clock::sleep_until_or_forever(close_at), if is_responsive => return CloseKind::Graceful,
@@ -108,7 +109,7 @@
                     }
                 }
                 read = from_worker.read(&mut response), if is_responsive => {
-                    let Some(length) = read.ok().filter(|length| *length > 0) else { return draw_close_kind() };
+                    let Some(length) = read.ok().filter(|length| *length > 0) else { return draw_close() };
                     self.last_response_at = Some(clock::now());
                     if write(stream, &response[..length], state.is_fragmenting).await.is_err() {
                         return CloseKind::Reset;
@@ -185,9 +186,9 @@
     }
 }
 
-/// Draws how the link closes a connection that the worker has closed: a worker that closes it sends a FIN, one that
-/// crashes an RST, and the in-memory connection does not tell them apart.
-fn draw_close_kind() -> CloseKind {
+/// Draws how the link closes a connection that the worker has closed: a worker that closes it sends a FIN,
+/// one that crashes an RST, and the in-memory connection does not tell them apart.
+fn draw_close() -> CloseKind {
     if rand::rng().random_bool(0.5) { CloseKind::Graceful } else { CloseKind::Reset }
 }
 
--- a/crates/fleet-emulator/src/link/mod.rs
+++ b/crates/fleet-emulator/src/link/mod.rs
@@ -1,7 +1,7 @@
 //! The network between one router and one worker: a TCP proxy that emulates network faults.
 //!
-//! A link observes data from the router before any emulated delay or fault, so its records show the behaviour of the
-//! router rather than that of the worker.
+//! A link observes data from the router before any emulated delay or fault, so its records show the behaviour
+//! of the router rather than that of the worker.
 
 mod connection;
 mod scanner;
@@ -56,7 +56,8 @@
     pub reset_probability: f64,
     /// The idle time after which a connection is closed.
     pub idle_close_after: Option<Duration>,
-    /// The idle time after which a connection is silently dropped: the next request on it is answered with a reset.
+    /// The idle time after which a connection is silently dropped: the next request on it is answered with a
+    /// reset.
     pub idle_drop_after: Option<Duration>,
 }
 
@@ -160,7 +161,8 @@
     }
 }
 
-/// Delays the forwarding of a connection. Returns the time of the router's first byte, if it arrived during the delay.
+/// Delays the forwarding of a connection. Returns the time of the router's first byte, if it arrived during
+/// the delay.
 async fn delay_connection(stream: &TcpStream, delay: Duration) -> Option<Timestamp> {
     let delay_ends_at = clock::now() + delay;
     let has_data = tokio::time::timeout(delay, stream.readable()).await.is_ok();
@@ -196,7 +198,8 @@
 /// Removes the connections that fill the accept queue, so that new ones are established again.
 fn drain_accept_queue(listener: &TcpListener, fillers: &[BlockingStream]) {
     let _ = SockRef::from(listener).listen(BACKLOG);
-    // This may remove a connection of the router instead of a filler. No data was forwarded on it, so the router retries.
+    // This may remove a connection of the router instead of a filler. No data was forwarded on it, so the
+    // router retries.
     for _ in fillers {
         let _ = SockRef::from(listener).accept();
     }
--- a/crates/fleet-emulator/src/misbehaving_client.rs
+++ b/crates/fleet-emulator/src/misbehaving_client.rs
@@ -1,5 +1,5 @@
-//! Emulated clients that send malformed, invalid or incomplete requests. A router must reject each request, or close its
-//! connection, within a few seconds.
+//! Emulated clients that send malformed, invalid or incomplete requests. A router must reject each request,
+//! or close its connection, within a few seconds.
 
 use crate::history::History;
 use crate::http::MessageReader;
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -17,8 +17,8 @@
 pub enum Idempotency {
     /// Repeated execution is safe.
     Idempotent,
-    /// The request carries an idempotency key, by which the workers of one scope recognize duplicates during the
-    /// deduplication window.
+    /// The request carries an idempotency key, by which the workers of one scope recognize duplicates during
+    /// the deduplication window.
     Keyed(DeduplicationScope),
     /// The request must not be executed twice.
     NonIdempotent,
@@ -141,8 +141,8 @@
         /// How the connection ended.
         end: ConnectionEnd,
     },
-    /// A client stopped waiting for data: the response did not start until long after the deadline, or its stream paused
-    /// for too long.
+    /// A client stopped waiting for data: the response did not start until long after the deadline, or its
+    /// stream paused for too long.
     ResponseTimedOut {
         /// The request.
         request: RequestId,
@@ -160,7 +160,8 @@
     MisbehavingClientEnded {
         /// The number of the client.
         number: u64,
-        /// Whether the router rejected the request or closed the connection. A successful response or none is a failure.
+        /// Whether the router rejected the request or closed the connection. A successful response or none is
+        /// a failure.
         was_rejected: bool,
     },
     /// A router wrote the first byte of a call to a worker.
@@ -204,7 +205,8 @@
         /// The connection that carries the call.
         connection: ConnectionId,
     },
-    /// A worker finished a call: it starts to write its response or the end of its stream, or gives the call up.
+    /// A worker finished a call: it starts to write its response or the end of its stream, or gives the call
+    /// up.
     CallCompleted {
         /// The request.
         request: RequestId,
@@ -233,7 +235,8 @@
         /// The worker.
         worker: WorkerIndex,
     },
-    /// The reservation of a KV cache ended: a decode worker fetched it, the router released it, or its worker crashed.
+    /// The reservation of a KV cache ended: a decode worker fetched it, the router released it, or its worker
+    /// crashed.
     CacheReservationEnded {
         /// The request.
         request: RequestId,
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -23,8 +23,8 @@
 const TOKENS_PER_EVENT: u64 = 4;
 /// The number of bytes that are sent of a malformed response that does not end.
 const UNTERMINATED_RESPONSE_BYTES: usize = 256 * 1024;
-/// The longest delay between a response and the unsolicited response after it. It is shorter than the time for which
-/// routers do not reuse a connection after a response.
+/// The longest delay between a response and the unsolicited response after it. It is shorter than the time
+/// for which routers do not reuse a connection after a response.
 const MAX_UNSOLICITED_RESPONSE_DELAY: Duration = Duration::from_millis(15);
 
 /// The size of a request in tokens.
@@ -61,8 +61,8 @@
         self.respond(404, "", "", true).await
     }
 
-    /// Serves an attempt, or rejects it if the worker is draining or full, or if the deadline passes before a slot is
-    /// free.
+    /// Serves an attempt, or rejects it if the worker is draining or full, or if the deadline passes before a
+    /// slot is free.
     pub(super) async fn serve_attempt(
         &mut self,
         size: RequestSize,
@@ -152,8 +152,8 @@
         self.write(&start).await
     }
 
-    /// Encodes an event. Its content is the request id, the connection id, the number of the event and the current time,
-    /// all of which the client checks.
+    /// Encodes an event. Its content is the request id, the connection id, the number of the event and the
+    /// current time, all of which the client checks.
     fn event(&self, number: u64) -> String {
         let (request, connection, now) = (&self.request, self.connection, clock::now().as_micros());
         format!(
--- a/crates/fleet-emulator/src/worker/mod.rs
+++ b/crates/fleet-emulator/src/worker/mod.rs
@@ -1,5 +1,5 @@
-//! Emulated workers. Prefill workers process prompts and reserve their KV caches; decode workers fetch the caches and
-//! stream responses.
+//! Emulated workers. Prefill workers process prompts and reserve their KV caches; decode workers fetch the
+//! caches and stream responses.
 
 mod cache;
 mod exchange;
@@ -44,7 +44,8 @@
     pub event_interval: Duration,
 }
 
-/// The injected misbehaviour of a worker: the probability per call of each kind, from 0 to 1, and a slowdown factor.
+/// The injected misbehaviour of a worker: the probability per call of each kind, from 0 to 1, and a slowdown
+/// factor.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Misbehaviour {
     /// The worker responds with status 500.
@@ -116,8 +117,8 @@
         self.is_draining.store(is_draining, Ordering::Relaxed);
     }
 
-    /// Freezes or resumes the process, as SIGSTOP and SIGCONT do. The kernel of its host still accepts connections and
-    /// buffers received data.
+    /// Freezes or resumes the process, as SIGSTOP and SIGCONT do. The kernel of its host still accepts
+    /// connections and buffers received data.
     pub fn set_frozen(&self, is_frozen: bool) {
         self.is_frozen.send_replace(is_frozen);
     }
@@ -195,7 +196,8 @@
                     RequestSize { prompt_tokens: prompt_tokens(head), max_output_tokens: body.max_tokens };
                 tokio::select! {
                     connection_use = exchange.serve_attempt(size, deadline) => connection_use,
-                    // The router has closed the connection, which cancels the attempt, also while it waits for a slot.
+                    // The router has closed the connection, which cancels the attempt, also while it waits
+                    // for a slot.
                     _ = input.fill() => Ok(ConnectionUse::Close),
                 }
             }
--- a/crates/fleet-emulator/tests/link.rs
+++ b/crates/fleet-emulator/tests/link.rs
@@ -30,8 +30,8 @@
     Worker::new(settings, CacheReservations::default(), history.clone())
 }
 
-/// Guards against link delays that are attributed to the router: the start of a call is the time at which the router
-/// wrote it, not the time at which a delayed link forwards it.
+/// Guards against link delays that are attributed to the router: the start of a call is the time at which the
+/// router wrote it, not the time at which a delayed link forwards it.
 #[tokio::test]
 async fn the_start_of_a_call_on_a_delayed_link_is_its_first_write_by_the_router() {
     let free = TcpListener::bind(SocketAddr::from((ADDRESS, 0))).unwrap();
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -31,8 +31,8 @@
         ShimmedRouter { router, control, _control_file: control_file }
     }
 
-    /// Starts a router while every call to which the fault applies fails. The fault is switched off as soon as one call has
-    /// failed.
+    /// Starts a router while every call to which the fault applies fails. The fault is switched off as soon
+    /// as one call has failed.
     pub fn start_with_initial_fault(operator_file: &str, fault: SystemCallFault) -> ShimmedRouter {
         let (control, control_file) = create_control_block();
         control.set_period(fault, 1).unwrap();
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Guards against connections that are closed because a signal interrupted a system call: with one call in four
-/// interrupted, 200 of 1,700 requests got no response.
+/// Guards against connections that are closed because a signal interrupted a system call: with one call in
+/// four interrupted, 200 of 1,700 requests got no response.
 #[test]
 fn interrupted_system_calls_close_no_connection() {
     let (shimmed, _workers) = start_router();
@@ -40,7 +40,8 @@
     );
 }
 
-/// Guards against open connections that are evicted because `accept` failed with ECONNABORTED for another one.
+/// Guards against open connections that are evicted because `accept` failed with ECONNABORTED for another
+/// one.
 #[test]
 fn an_aborted_accept_affects_no_other_connection() {
     let (shimmed, _workers) = start_router();
@@ -79,8 +80,8 @@
     assert_eq!(shimmed.router.stop().get("attempts_completed"), 20);
 }
 
-/// Guards against endpoint updates that stay in the kernel's receive buffer: the async runtime took a short read to mean
-/// that the buffer was empty.
+/// Guards against endpoint updates that stay in the kernel's receive buffer: the async runtime took a short
+/// read to mean that the buffer was empty.
 #[test]
 fn updates_on_a_watch_are_applied_at_once_despite_short_reads() {
     let (agent, updates) = discovery_agent();
