--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -69,13 +69,14 @@
         deadline: Timestamp,
     ) -> io::Result<ConnectionUse> {
         let worker = self.worker;
-        let _claim = (worker.settings.role == Role::Decode).then(|| worker.reservations.claim(&self.request));
+        let _claim_guard =
+            (worker.settings.role == Role::Decode).then(|| worker.reservations.claim(&self.request));
         let is_draining = worker.is_draining.load(Ordering::Relaxed);
         if is_draining || happens(self.misbehaviour.rejection) {
             return self.reject(503).await;
         }
-        let Ok(_queued) = worker.queue.try_acquire() else { return self.reject(503).await };
-        let Ok(_slot) = worker.slots.acquire().await else { return Ok(self.close()) };
+        let Ok(_queue_permit) = worker.queue.try_acquire() else { return self.reject(503).await };
+        let Ok(_slot_permit) = worker.slots.acquire().await else { return Ok(self.close()) };
         if clock::now() >= deadline {
             return self.reject(504).await;
         }
@@ -98,8 +99,8 @@
     async fn prefill(&mut self, prompt_tokens: u64) -> io::Result<ConnectionUse> {
         let worker = self.worker;
         let settings = &worker.settings;
-        let processing = Duration::from_secs(prompt_tokens) / settings.prefill_tokens_per_second.max(1);
-        tokio::time::sleep(worker.slowed(settings.base_latency + processing, &self.misbehaviour)).await;
+        let processing_time = Duration::from_secs(prompt_tokens) / settings.prefill_tokens_per_second.max(1);
+        tokio::time::sleep(worker.slowed(settings.base_latency + processing_time, &self.misbehaviour)).await;
         if happens(self.misbehaviour.malformed_response) {
             return self.respond_malformed().await;
         }
@@ -126,16 +127,16 @@
         if happens(self.misbehaviour.malformed_response) {
             return self.respond_malformed().await;
         }
-        let events = (max_output_tokens / TOKENS_PER_EVENT).clamp(1, MAX_EVENTS);
-        let close_before =
-            happens(self.misbehaviour.close_during_response).then(|| rand::rng().random_range(0..events));
-        for event in 0..events {
+        let event_count = (max_output_tokens / TOKENS_PER_EVENT).clamp(1, MAX_EVENTS);
+        let close_before = happens(self.misbehaviour.close_during_response)
+            .then(|| rand::rng().random_range(0..event_count));
+        for event in 0..event_count {
             if close_before == Some(event) {
                 return Ok(self.close());
             }
             self.stream_event(event).await?;
         }
-        self.end_stream(events).await
+        self.end_stream(event_count).await
     }
 
     /// Writes one event of a stream, and before the first event the head of the response.
@@ -143,10 +144,10 @@
         let worker = self.worker;
         if number > 0 {
             tokio::time::sleep(worker.slowed(worker.settings.event_interval, &self.misbehaviour)).await;
-            return self.write(&encode_chunk(&self.event(number))).await;
+            return self.write(&encode_chunk(&self.encode_event(number))).await;
         }
         let mut start = STREAM_HEAD.as_bytes().to_vec();
-        start.extend(encode_chunk(&self.event(number)));
+        start.extend(encode_chunk(&self.encode_event(number)));
         let (request, worker) = (self.request.clone(), worker.settings.index);
         self.record(Record::StreamStarted { request, worker });
         self.write(&start).await
@@ -154,7 +155,7 @@
 
     /// Encodes an event. Its content is the request id, the connection id, the number of the event and the
     /// current time, all of which the client checks.
-    fn event(&self, number: u64) -> String {
+    fn encode_event(&self, number: u64) -> String {
         let (request, connection, now) = (&self.request, self.connection, clock::now().as_micros());
         format!(
             "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{request} {connection} {number} {now}\"}},\
@@ -162,11 +163,11 @@
         )
     }
 
-    async fn end_stream(&mut self, events: u64) -> io::Result<ConnectionUse> {
+    async fn end_stream(&mut self, event_count: u64) -> io::Result<ConnectionUse> {
         let usage = format!(
             "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":64,\"completion_tokens\":{},\
              \"prompt_tokens_details\":{{\"cached_tokens\":16}}}}}}\n\n",
-            events * TOKENS_PER_EVENT
+            event_count * TOKENS_PER_EVENT
         );
         let mut end = encode_chunk(&usage);
         end.extend(encode_chunk("data: [DONE]\n\n"));
@@ -188,9 +189,9 @@
         had_no_effect: bool,
     ) -> io::Result<ConnectionUse> {
         let length = body.len();
-        let text = format!("HTTP/1.1 {status} x\r\n{headers}content-length: {length}\r\n\r\n{body}");
+        let response = format!("HTTP/1.1 {status} x\r\n{headers}content-length: {length}\r\n\r\n{body}");
         self.record_completion(status, had_no_effect, true);
-        self.write(text.as_bytes()).await?;
+        self.write(response.as_bytes()).await?;
         Ok(ConnectionUse::Reuse)
     }
 
