--- a/crates/fault-soak/src/faults/clients.rs
+++ b/crates/fault-soak/src/faults/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::load::{DEFAULT_DISCONNECT_SHARE, LoadProfile};
 use crate::testbed::Testbed;
-use fleet_emulator::misbehaving_client::{ClientMisbehaviour, send_misbehaving};
+use fleet_emulator::misbehaving_client::{ClientMisbehaviour, run_misbehaving_client};
 use fleet_emulator::record::RouterIndex;
 use rand::Rng;
 use std::sync::Arc;
@@ -85,7 +85,7 @@
 
 fn spawn_misbehaving_client(testbed: &Testbed, router: RouterIndex, misbehaviour: ClientMisbehaviour) {
     let address = testbed.routers[router].address;
-    tokio::spawn(send_misbehaving(router, address, misbehaviour, testbed.history().clone()));
+    tokio::spawn(run_misbehaving_client(router, address, misbehaviour, testbed.history().clone()));
 }
 
 async fn run_misbehaving_clients(testbed: Arc<Testbed>, router: RouterIndex, duration: Duration) {
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -112,7 +112,7 @@
         for _ in 0..MAX_CLIENT_ATTEMPTS {
             // A client keeps using its connection while that stays open.
             let is_in_rotation = self.is_in_rotation[router].load(Ordering::Relaxed);
-            if !is_in_rotation && !self.clients[router].has_idle() {
+            if !is_in_rotation && !self.clients[router].has_idle_connection() {
                 return;
             }
             let behaviour = self.draw_behaviour(request.first_token_timeout);
--- a/crates/fault-soak/src/oracle/observations/builder.rs
+++ b/crates/fault-soak/src/oracle/observations/builder.rs
@@ -6,7 +6,7 @@
 };
 use fleet_emulator::clock::Timestamp;
 use fleet_emulator::history::Entry;
-use fleet_emulator::record::{CallKind, ConnectionNumber, Record, RequestId, RouterIndex, RouterSignal};
+use fleet_emulator::record::{CallKind, ConnectionId, Record, RequestId, RouterIndex, RouterSignal};
 use std::collections::HashMap;
 
 pub(super) fn build(entries: &[Entry]) -> Observations {
@@ -23,7 +23,7 @@
 struct Builder {
     observations: Observations,
     /// The request of the latest attempt on each connection.
-    last_request: HashMap<ConnectionNumber, RequestId>,
+    last_request: HashMap<ConnectionId, RequestId>,
 }
 
 impl Builder {
@@ -143,7 +143,7 @@
     }
 
     /// The latest attempt for a request on a connection.
-    fn attempt(&mut self, request: &RequestId, connection: ConnectionNumber) -> Option<&mut Attempt> {
+    fn attempt(&mut self, request: &RequestId, connection: ConnectionId) -> Option<&mut Attempt> {
         let attempts = &mut self.observations.requests.get_mut(request)?.attempts;
         attempts.iter_mut().rev().find(|attempt| attempt.connection == connection)
     }
--- a/crates/fault-soak/src/router/mod.rs
+++ b/crates/fault-soak/src/router/mod.rs
@@ -5,7 +5,7 @@
 
 pub use log::{Log, LogLine};
 
-use fault_plan::{CONTROL_VARIABLE, Control};
+use fault_plan::{CONTROL_FILE_VARIABLE, ControlBlock};
 use fleet_emulator::history::History;
 use fleet_emulator::record::{Record, RouterIndex, RouterSignal};
 use fleet_emulator::sync::lock;
@@ -48,7 +48,7 @@
     /// The path of the configuration file.
     pub configuration: PathBuf,
     /// The control block of the fault shim.
-    pub control: Control,
+    pub control: ControlBlock,
     /// The log of all processes of the router.
     pub log: Log,
     control_file: PathBuf,
@@ -75,7 +75,7 @@
             index,
             address,
             configuration: directory.join(format!("router-{index}.json")),
-            control: Control::create(&control_file)?,
+            control: ControlBlock::create(&control_file)?,
             log: Log::default(),
             control_file,
             programs,
@@ -113,7 +113,7 @@
             .env("NODE_NAME", format!("router-{}", self.index))
             .env("RUST_LOG", "debug")
             .env("LD_PRELOAD", &self.programs.shim)
-            .env(CONTROL_VARIABLE, &self.control_file)
+            .env(CONTROL_FILE_VARIABLE, &self.control_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -1,9 +1,9 @@
-//! One call at a worker: its response, and how misbehaviour changes it.
+//! The handling of one call at a worker, with injected misbehaviour.
 
 use super::{Misbehaviour, Worker};
 use crate::clock::{self, Timestamp};
-use crate::http::{ConnectionUse, chunk};
-use crate::record::{ConnectionNumber, Record, RequestId, Role};
+use crate::http::{ConnectionUse, encode_chunk};
+use crate::record::{ConnectionId, Record, RequestId, Role};
 use rand::Rng;
 use std::io;
 use std::sync::atomic::Ordering;
@@ -13,19 +13,19 @@
 /// The head of a streamed response.
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-/// The header by which a worker proves that it has not executed a request.
+/// The header of a response to a request that was not executed and may therefore be retried.
 const NOT_EXECUTED_HEADER: &str = "x-not-run: 1\r\n";
-/// The time for which a call that hangs occupies its slot.
-const HANG_TIME: Duration = Duration::from_secs(20);
-/// The largest number of events in a stream.
+/// A call that hangs occupies its slot for this time.
+const HANG_DURATION: Duration = Duration::from_secs(20);
+/// The largest number of content events in a stream.
 const MAX_EVENTS: u64 = 24;
-/// The number of tokens in an event.
+/// The number of output tokens that one event stands for.
 const TOKENS_PER_EVENT: u64 = 4;
-/// The size of a malformed response that never ends.
-const ENDLESS_BYTES: usize = 256 * 1024;
-/// An unsolicited response follows the first one within this time, which is shorter than the time for which routers
-/// leave a connection unused between two requests.
-const UNSOLICITED_RESPONSE_WITHIN: Duration = Duration::from_millis(15);
+/// The number of bytes that are sent of a malformed response that does not end.
+const UNTERMINATED_RESPONSE_BYTES: usize = 256 * 1024;
+/// The longest delay between a response and the unsolicited response after it. It is shorter than the time
+/// for which routers do not reuse a connection after a response.
+const MAX_UNSOLICITED_RESPONSE_DELAY: Duration = Duration::from_millis(15);
 
 /// The size of a request in tokens.
 #[derive(Clone, Copy)]
@@ -34,21 +34,22 @@
     pub(super) max_output_tokens: u64,
 }
 
-/// A call that is being served.
+/// A call in progress.
 pub(super) struct Exchange<'a, W> {
     pub(super) worker: &'a Worker,
     pub(super) output: &'a mut W,
     pub(super) request: RequestId,
-    pub(super) connection: ConnectionNumber,
+    pub(super) connection: ConnectionId,
     pub(super) misbehaviour: Misbehaviour,
 }
 
+/// Draws whether an event of this probability occurs.
 fn happens(probability: f64) -> bool {
     probability > 0.0 && rand::rng().random_bool(probability.min(1.0))
 }
 
 impl<W: AsyncWrite + Unpin> Exchange<'_, W> {
-    /// Releases the KV cache of the request.
+    /// Serves a call that releases the KV cache of its request.
     pub(super) async fn serve_release(&mut self) -> io::Result<ConnectionUse> {
         if self.worker.reservations.release(&self.request).is_some() {
             self.record(Record::CacheReservationEnded { request: self.request.clone() });
@@ -60,25 +61,27 @@
         self.respond(404, "", "", true).await
     }
 
-    /// Serves an attempt, unless the worker has no capacity or the deadline passes before a slot is free.
+    /// Serves an attempt, or rejects it if the worker is draining or full, or if the deadline passes before a
+    /// slot is free.
     pub(super) async fn serve_attempt(
         &mut self,
         size: RequestSize,
         deadline: Timestamp,
     ) -> io::Result<ConnectionUse> {
         let worker = self.worker;
-        let _claim = (worker.settings.role == Role::Decode).then(|| worker.reservations.claim(&self.request));
+        let _claim_guard =
+            (worker.settings.role == Role::Decode).then(|| worker.reservations.claim(&self.request));
         let is_draining = worker.is_draining.load(Ordering::Relaxed);
         if is_draining || happens(self.misbehaviour.rejection) {
             return self.reject(503).await;
         }
-        let Ok(_queued) = worker.queue.try_acquire() else { return self.reject(503).await };
-        let Ok(_slot) = worker.slots.acquire().await else { return Ok(self.close()) };
+        let Ok(_queue_permit) = worker.queue.try_acquire() else { return self.reject(503).await };
+        let Ok(_slot_permit) = worker.slots.acquire().await else { return Ok(self.close()) };
         if clock::now() >= deadline {
             return self.reject(504).await;
         }
         if happens(self.misbehaviour.hang) {
-            tokio::time::sleep(HANG_TIME).await;
+            tokio::time::sleep(HANG_DURATION).await;
             return Ok(self.close());
         }
         if happens(self.misbehaviour.close_before_response) {
@@ -96,8 +99,8 @@
     async fn prefill(&mut self, prompt_tokens: u64) -> io::Result<ConnectionUse> {
         let worker = self.worker;
         let settings = &worker.settings;
-        let processing = Duration::from_secs(prompt_tokens) / settings.prefill_tokens_per_second.max(1);
-        tokio::time::sleep(worker.slowed(settings.base_latency + processing, &self.misbehaviour)).await;
+        let processing_time = Duration::from_secs(prompt_tokens) / settings.prefill_tokens_per_second.max(1);
+        tokio::time::sleep(worker.slowed(settings.base_latency + processing_time, &self.misbehaviour)).await;
         if happens(self.misbehaviour.malformed_response) {
             return self.respond_malformed().await;
         }
@@ -107,11 +110,11 @@
             return Ok(self.close());
         }
         let headers = "content-type: application/json\r\n";
-        let after = self.respond(202, headers, r#"{"cached_tokens":16}"#, true).await?;
+        let connection_use = self.respond(202, headers, r#"{"cached_tokens":16}"#, true).await?;
         if happens(self.misbehaviour.unsolicited_response) {
             self.respond_unsolicited().await?;
         }
-        Ok(after)
+        Ok(connection_use)
     }
 
     async fn decode(&mut self, max_output_tokens: u64) -> io::Result<ConnectionUse> {
@@ -124,35 +127,35 @@
         if happens(self.misbehaviour.malformed_response) {
             return self.respond_malformed().await;
         }
-        let events = (max_output_tokens / TOKENS_PER_EVENT).clamp(1, MAX_EVENTS);
-        let closes_at =
-            happens(self.misbehaviour.close_during_response).then(|| rand::rng().random_range(0..events));
-        for event in 0..events {
-            if closes_at == Some(event) {
+        let event_count = (max_output_tokens / TOKENS_PER_EVENT).clamp(1, MAX_EVENTS);
+        let close_before = happens(self.misbehaviour.close_during_response)
+            .then(|| rand::rng().random_range(0..event_count));
+        for event in 0..event_count {
+            if close_before == Some(event) {
                 return Ok(self.close());
             }
             self.stream_event(event).await?;
         }
-        self.end_stream(events).await
+        self.end_stream(event_count).await
     }
 
-    /// Writes one event of a stream, the first one together with the head of the response.
+    /// Writes one event of a stream, and before the first event the head of the response.
     async fn stream_event(&mut self, number: u64) -> io::Result<()> {
         let worker = self.worker;
         if number > 0 {
             tokio::time::sleep(worker.slowed(worker.settings.event_interval, &self.misbehaviour)).await;
-            return self.write(&chunk(&self.event(number))).await;
+            return self.write(&encode_chunk(&self.encode_event(number))).await;
         }
         let mut start = STREAM_HEAD.as_bytes().to_vec();
-        start.extend(chunk(&self.event(number)));
+        start.extend(encode_chunk(&self.encode_event(number)));
         let (request, worker) = (self.request.clone(), worker.settings.index);
         self.record(Record::StreamStarted { request, worker });
         self.write(&start).await
     }
 
-    /// An event that names its request, its attempt, its number in the stream and the current time, so that the client
-    /// can check all of them.
-    fn event(&self, number: u64) -> String {
+    /// Encodes an event. Its content is the request id, the connection id, the number of the event and the
+    /// current time, all of which the client checks.
+    fn encode_event(&self, number: u64) -> String {
         let (request, connection, now) = (&self.request, self.connection, clock::now().as_micros());
         format!(
             "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{request} {connection} {number} {now}\"}},\
@@ -160,14 +163,14 @@
         )
     }
 
-    async fn end_stream(&mut self, events: u64) -> io::Result<ConnectionUse> {
+    async fn end_stream(&mut self, event_count: u64) -> io::Result<ConnectionUse> {
         let usage = format!(
             "data: {{\"choices\":[],\"usage\":{{\"prompt_tokens\":64,\"completion_tokens\":{},\
              \"prompt_tokens_details\":{{\"cached_tokens\":16}}}}}}\n\n",
-            events * TOKENS_PER_EVENT
+            event_count * TOKENS_PER_EVENT
         );
-        let mut end = chunk(&usage);
-        end.extend(chunk("data: [DONE]\n\n"));
+        let mut end = encode_chunk(&usage);
+        end.extend(encode_chunk("data: [DONE]\n\n"));
         end.extend(b"0\r\n\r\n");
         self.record_completion(200, false, true);
         self.write(&end).await?;
@@ -177,7 +180,7 @@
         Ok(ConnectionUse::Reuse)
     }
 
-    /// Sends a response with a body of known length.
+    /// Sends a complete response with a `content-length`.
     async fn respond(
         &mut self,
         status: u16,
@@ -186,40 +189,40 @@
         had_no_effect: bool,
     ) -> io::Result<ConnectionUse> {
         let length = body.len();
-        let text = format!("HTTP/1.1 {status} x\r\n{headers}content-length: {length}\r\n\r\n{body}");
+        let response = format!("HTTP/1.1 {status} x\r\n{headers}content-length: {length}\r\n\r\n{body}");
         self.record_completion(status, had_no_effect, true);
-        self.write(text.as_bytes()).await?;
+        self.write(response.as_bytes()).await?;
         Ok(ConnectionUse::Reuse)
     }
 
-    /// Sends a response that proves that the request was not executed.
+    /// Sends a response that marks the request as not executed.
     async fn reject(&mut self, status: u16) -> io::Result<ConnectionUse> {
         self.respond(status, NOT_EXECUTED_HEADER, "", true).await
     }
 
-    /// Closes the connection instead of a response, or in the middle of it.
+    /// Records that the response is missing or truncated, and closes the connection.
     fn close(&self) -> ConnectionUse {
         self.record_completion(0, false, false);
         ConnectionUse::Close
     }
 
     async fn respond_unsolicited(&mut self) -> io::Result<()> {
-        let pause = rand::rng().random_range(Duration::ZERO..UNSOLICITED_RESPONSE_WITHIN);
-        tokio::time::sleep(pause).await;
+        let delay = rand::rng().random_range(Duration::ZERO..MAX_UNSOLICITED_RESPONSE_DELAY);
+        tokio::time::sleep(delay).await;
         self.write(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 12\r\n\r\ndata: no\n\n\r\n")
             .await
     }
 
-    /// Sends one of several responses that can't be parsed, and keeps the connection open for a while.
+    /// Sends one of four kinds of unparseable response, and closes the connection after [`HANG_DURATION`].
     async fn respond_malformed(&mut self) -> io::Result<ConnectionUse> {
         self.record_completion(0, false, false);
-        let form = rand::rng().random_range(0..4);
-        match form {
+        let variant = rand::rng().random_range(0..4);
+        match variant {
             0 => self.write(b"\x00\x01 what is this\r\n\r\n").await?,
             1 => {
-                let endless_header: Vec<u8> =
-                    b"x-filler: ".iter().copied().cycle().take(ENDLESS_BYTES).collect();
-                self.write(&endless_header).await?;
+                let unterminated_header: Vec<u8> =
+                    b"x-filler: ".iter().copied().cycle().take(UNTERMINATED_RESPONSE_BYTES).collect();
+                self.write(&unterminated_header).await?;
             }
             2 => {
                 self.write(STREAM_HEAD.as_bytes()).await?;
@@ -228,15 +231,15 @@
             _ => {
                 self.write(STREAM_HEAD.as_bytes()).await?;
                 self.write(b"c0000000\r\n").await?;
-                self.write(&vec![b'x'; ENDLESS_BYTES]).await?;
+                self.write(&vec![b'x'; UNTERMINATED_RESPONSE_BYTES]).await?;
             }
         }
-        tokio::time::sleep(HANG_TIME).await;
+        tokio::time::sleep(HANG_DURATION).await;
         Ok(ConnectionUse::Close)
     }
 
     async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.worker.until_resumed().await;
+        self.worker.wait_until_resumed().await;
         self.output.write_all(bytes).await?;
         self.output.flush().await
     }
