--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the size of source files.
+//! Checks of the size limits of source files, and of the pointer from the policy to its interface.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,27 +11,28 @@
 }
 
 #[test]
-fn policy_modules_are_at_most_400_lines_of_110_characters() {
-    let files: Vec<PathBuf> = fs::read_dir(policy_folder()).unwrap().map(|f| f.unwrap().path()).collect();
+fn policy_modules_are_within_the_line_and_column_limits() {
+    let files: Vec<PathBuf> =
+        fs::read_dir(policy_folder()).unwrap().map(|entry| entry.unwrap().path()).collect();
     assert!(files.len() > 1, "the policy has no modules in {}", policy_folder().display());
     for file in files {
         let text = fs::read_to_string(&file).unwrap();
         let lines = text.lines().count();
         assert!(lines <= MAX_LINES, "{}: {lines} lines", file.display());
-        for (i, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MAX_COLUMNS, "{}:{} is too wide", file.display(), i + 1);
+        for (index, line) in text.lines().enumerate() {
+            assert!(line.chars().count() <= MAX_COLUMNS, "{}:{} is too wide", file.display(), index + 1);
         }
     }
 }
 
 #[test]
-fn policy_names_its_interface_in_its_first_lines() {
+fn policy_refers_to_its_interface_in_its_first_lines() {
     let text = fs::read_to_string(policy_folder().join("mod.rs")).unwrap();
-    assert!(text.lines().take(3).any(|l| l.contains("src/interface/")));
+    assert!(text.lines().take(3).any(|line| line.contains("src/interface/")));
 }
 
 #[test]
-fn source_files_are_at_most_400_lines() {
+fn source_files_are_within_the_line_limit() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     for folder in ["src", "tests", "examples", "crates"] {
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! Transcripts of the simulator's wire, run through the adapter.
+//! Tests of the simulator's adapter as a process: batches on standard input, actions on standard output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -40,7 +40,7 @@
         "rules.cold_us=9000000",
         "rules.fall_multiple=2.5",
         "rules.fall_us=1000000",
-        "a.key.nobody.knows=1",
+        "unknown.key=1",
     ];
     let endpoints = line(&["MEMBERSHIP", router, "SAVED", "1", "2"])
         + &line(&["ENTRY", "10.0.0.1:1", "here", "rd", "0", "in_service", "1", "-"])
@@ -52,12 +52,12 @@
     line(&["ASK", router, id, "5000000", "-", "0", "-", "200", "900", "0", "-", "chat", "0"])
 }
 
-fn batch(clock: &str, events: &str) -> String {
-    format!("TICK\t{clock}\n{events}EOB\n")
+fn batch(clock_us: &str, events: &str) -> String {
+    format!("TICK\t{clock_us}\n{events}EOB\n")
 }
 
 #[test]
-fn a_request_passes_both_stages() {
+fn a_request_is_sent_to_a_prefill_worker_and_then_to_a_decode_worker() {
     let attempt_ended = |attempt: &str, worker: &str, outcome: &str, finished: &str, load: &str| {
         line(&["CLOSED_ATTEMPT", "3", "9", attempt, worker, outcome, "40000", finished, "0", load])
     };
@@ -73,41 +73,38 @@
     );
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
-    let sends: Vec<&str> = text.lines().filter(|l| l.starts_with("DELIVER")).collect();
+    let sends: Vec<&str> = text.lines().filter(|line| line.starts_with("DELIVER")).collect();
     assert_eq!(sends.len(), 2, "{text}");
     assert!(sends[0].starts_with("DELIVER\t3\t9\t10.0.0.1:1\t"));
     assert!(sends[1].starts_with("DELIVER\t3\t9\t10.0.0.2:1\t"));
-    assert_eq!(text.lines().filter(|l| *l == "OK").count(), 5);
+    assert_eq!(text.lines().filter(|line| *line == "OK").count(), 5);
 }
 
 #[test]
-fn instances_are_separate_and_restart_within_a_batch() {
+fn routers_share_no_state_and_can_restart_within_a_batch() {
     let events = init("1")
         + &init("2")
         + &request("1", "5")
         + &line(&["SHUTDOWN", "1"])
         + &init("1")
         + &request("2", "6");
-    let late = line(&["CLOSED_ATTEMPT", "1", "5", "0", "10.0.0.1:1", "half_done", "1", "0", "0", "-"]);
-    let output = run_adapter(&(batch("1000000", &events) + &batch("1002000", &late)));
+    let stale_end = line(&["CLOSED_ATTEMPT", "1", "5", "0", "10.0.0.1:1", "half_done", "1", "0", "0", "-"]);
+    let output = run_adapter(&(batch("1000000", &events) + &batch("1002000", &stale_end)));
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.contains("DELIVER\t1\t5\t") && text.contains("DELIVER\t2\t6\t"));
-    assert!(
-        text.ends_with("OK\nOK\n"),
-        "a restarted instance knows nothing of the earlier one's request: {text}"
-    );
+    assert!(text.ends_with("OK\nOK\n"), "a restarted router has no request of its predecessor: {text}");
 }
 
 #[test]
-fn the_same_transcript_gives_the_same_bytes() {
+fn the_same_input_gives_the_same_output() {
     let requests: String = (0..50).map(|i| request("1", &i.to_string())).collect();
     let input = batch("1000000", &(init("1") + &requests)) + &batch("2000000", &line(&["ALARM", "1", "1"]));
     assert_eq!(run_adapter(&input).stdout, run_adapter(&input).stdout);
 }
 
 #[test]
-fn malformed_input_names_line_and_field_and_fails() {
+fn malformed_input_fails_with_an_error_that_names_line_and_field() {
     let cases = [
         (batch("1000000", "WHATEVER\t1\n"), "line 2", "1"),
         (batch("1000000", &(init("1") + "WHATEVER\t1\n")), "line 6", "WHATEVER"),
@@ -119,16 +116,16 @@
         (batch("1000000", &init("1").replace("my_zone=here\t", "")), "line 2", "my_zone"),
         ("EOB\n".to_owned(), "line 1", "TICK"),
     ];
-    for (input, place, what) in cases {
+    for (input, line_number, name) in cases {
         let output = run_adapter(&input);
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success(), "{input:?} was accepted");
-        assert!(error.contains(place) && error.contains(what), "{input:?}: {error}");
+        assert!(error.contains(line_number) && error.contains(name), "{input:?}: {error}");
     }
 }
 
 #[test]
-fn a_clean_end_is_a_success() {
+fn an_end_of_input_between_batches_exits_with_success() {
     let output = run_adapter(&batch("1000000", ""));
     assert!(output.status.success());
     assert_eq!(output.stdout, b"OK\n");
