--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -44,7 +44,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it retries; `None`: not stated.
+        /// How long the client should wait before it retries; `None`: unspecified.
         retry_after: Option<Micros>,
         /// The cause, for the log.
         reason: EndReason,
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -31,8 +31,8 @@
     /// The worker did not respond in time; the request may have run.
     TimedOut,
     /// The request was not delivered in full, so it did not run: the connection could not be established, or
-    /// before the request's last byte it broke, the router stopped writing, or the attempt timed out. Counts
-    /// as a failure of the worker.
+    /// it broke, the router stopped writing or the attempt timed out before the request's last byte was
+    /// written. Counts as a failure of the worker.
     ConnectFailed,
     /// The connection broke; the request may have run.
     ConnectionLost,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -68,7 +68,7 @@
     /// How long a client waits, over all its retries. Unused by the current policy: each request carries its
     /// own deadline.
     pub client_timeout: Micros,
-    /// The priority weight of a request, per request or per unit of work.
+    /// The priority weight, per request or per unit of work.
     pub priority_weight: f64,
     /// The fraction of the weight that a late response still earns. Unused by the current policy.
     pub late_weight: f64,
@@ -148,7 +148,7 @@
     /// How long after the notification new requests may still reach a draining or removed worker. Unused by
     /// the current policy, which sends nothing to such a worker from the notification on.
     pub drain_grace: Micros,
-    /// The fraction of its capacity that a worker has at least when it starts.
+    /// The minimum fraction of its capacity that a worker has when it starts.
     pub slow_start_floor: f64,
     /// The time from the start of a worker until it has its full capacity.
     pub slow_start_duration: Micros,
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -82,7 +82,7 @@
     ConnectionError,
     /// The received bytes are not valid HTTP.
     MalformedRequest,
-    /// No byte was received after the accept.
+    /// No byte was received in time after the accept.
     Silent,
     /// The idle timeout after its last response has passed.
     Idle,
--- a/src/rules/idempotency.rs
+++ b/src/rules/idempotency.rs
@@ -19,13 +19,13 @@
 pub fn latest_retry_arrival(
     idempotency: Idempotency,
     deduplication_window: Micros,
-    mut earlier: impl Iterator<Item = EarlierAttempt>,
+    mut earlier_attempts: impl Iterator<Item = EarlierAttempt>,
 ) -> Option<Micros> {
     match idempotency {
         Idempotency::Idempotent => Some(Micros::MAX),
-        Idempotency::NonIdempotent => earlier.next().is_none().then_some(Micros::MAX),
+        Idempotency::NonIdempotent => earlier_attempts.next().is_none().then_some(Micros::MAX),
         Idempotency::Keyed(_) => {
-            let window_ends = earlier.map(|attempt| {
+            let window_ends = earlier_attempts.map(|attempt| {
                 attempt.same_scope.then(|| attempt.sent_at.saturating_add(deduplication_window))
             });
             // `None` is less than any time, so a single attempt outside the scope rules the retry out.
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -17,7 +17,7 @@
     match fields.message() {
         "ASK" => parse_request(fields).map(Event::RequestReceived),
         "UNDER_WAY" => parse_stream_started(fields),
-        "SEAT_NEWS" => parse_slot_reserved(fields),
+        "SEAT_NEWS" => parse_slot_reservation(fields),
         "CLOSED_ATTEMPT" => parse_attempt_ended(fields).map(Event::AttemptEnded),
         "CLIENT_LEFT" => Ok(Event::ClientDisconnected { request: parse_request_id(fields)? }),
         "ALARM" => Ok(Event::Timer(TimerId(fields.required("name")?))),
@@ -75,7 +75,7 @@
 
 /// Parses the answer to a reservation: the kind is 1 if the slot was reserved, else any other number. The
 /// attempt index is skipped.
-fn parse_slot_reserved(fields: &mut Fields<'_>) -> Result<Event, LineError> {
+fn parse_slot_reservation(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let request = parse_request_id(fields)?;
     fields.text("hop")?;
     let worker = fields.worker()?;
--- a/src/wire_format/mod.rs
+++ b/src/wire_format/mod.rs
@@ -1,6 +1,6 @@
-//! The formats of settings and load reports, shared by the configuration files and the simulator's wire.
+//! The formats of settings and of workers' load reports, shared by the router and the simulator's adapter.
 //!
-//! The external names of keys and values appear only here; the rest of the code uses the terms of
+//! This module translates the external names of keys and values into the terms of
 //! [`interface`](crate::interface).
 
 mod flatten;
