--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -1,7 +1,7 @@
 //! The configuration as deserialized, before validation.
 
 use super::{Config, ConfigError, Limits, ToolSettings};
-use crate::net::discovery::{EndpointUpdate, ListMessage};
+use crate::net::discovery::{EndpointListMessage, EndpointUpdate};
 use crate::wire_format::{flatten_settings, idle_connection_timeout, parse_settings};
 use serde::Deserialize;
 use serde_json::Value;
@@ -18,7 +18,7 @@
     seed: Value,
     #[serde(default)]
     limits: Limits,
-    known: Option<ListMessage>,
+    known: Option<EndpointListMessage>,
     settings: Value,
     tools: Option<ToolSettings>,
 }
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -3,7 +3,7 @@
 use super::MAX_MESSAGE_BYTES;
 use super::dial::Dial;
 use super::error::DiscoveryError;
-use super::messages::ListMessage;
+use super::messages::EndpointListMessage;
 use super::update::EndpointUpdate;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
@@ -55,7 +55,7 @@
     async fn fetch_list(&self) -> Result<EndpointUpdate, DiscoveryError> {
         let response = self.get(LIST_PATH).await?;
         let body = read_body(response.into_body()).await?;
-        let message: ListMessage = serde_json::from_slice(&body).map_err(DiscoveryError::Parse)?;
+        let message: EndpointListMessage = serde_json::from_slice(&body).map_err(DiscoveryError::Parse)?;
         // The answer to a poll is the complete list, whether it says so or not.
         Ok(EndpointUpdate { complete: true, ..message.into() })
     }
--- a/src/net/discovery/messages.rs
+++ b/src/net/discovery/messages.rs
@@ -7,7 +7,7 @@
 
 /// A message of discovery: the complete endpoint list, or changes of it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ListMessage {
+pub struct EndpointListMessage {
     #[serde(rename = "seq")]
     sequence: u64,
     #[serde(default, rename = "whole")]
@@ -77,8 +77,8 @@
     }
 }
 
-impl From<ListMessage> for EndpointUpdate {
-    fn from(message: ListMessage) -> Self {
+impl From<EndpointListMessage> for EndpointUpdate {
+    fn from(message: EndpointListMessage) -> Self {
         let endpoints = message.endpoints.into_iter().map(AddressedEndpoint::from).collect();
         EndpointUpdate { sequence: message.sequence, complete: message.complete, endpoints }
     }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -22,7 +22,7 @@
 pub use backoff::Backoff;
 pub use dial::{Dial, DiscoveryStream, dial_tcp};
 pub use directory::Directory;
-pub use messages::ListMessage;
+pub use messages::EndpointListMessage;
 pub use update::{AddressedEndpoint, EndpointUpdate};
 pub use watcher::EndpointWatcher;
 
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -1,6 +1,6 @@
 //! The messages in the byte stream of a watch.
 
-use super::messages::ListMessage;
+use super::messages::EndpointListMessage;
 use super::object_scanner::ObjectScanner;
 use bytes::{Buf, BytesMut};
 
@@ -34,7 +34,7 @@
 
 impl MessageParser {
     /// Takes in the next bytes of the stream and hands over each message that is complete now.
-    pub fn push(&mut self, data: &[u8], mut on_message: impl FnMut(ListMessage)) -> ParseProgress {
+    pub fn push(&mut self, data: &[u8], mut on_message: impl FnMut(EndpointListMessage)) -> ParseProgress {
         self.buffer.extend_from_slice(data);
         let mut progress = ParseProgress::NoMessage;
         loop {
@@ -42,7 +42,8 @@
             if !self.is_parsed_now() {
                 return progress;
             }
-            let mut messages = serde_json::Deserializer::from_slice(&self.buffer).into_iter::<ListMessage>();
+            let mut messages =
+                serde_json::Deserializer::from_slice(&self.buffer).into_iter::<EndpointListMessage>();
             match messages.next() {
                 Some(Ok(message)) => {
                     let end = messages.byte_offset();
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -2,7 +2,7 @@
 
 use super::MAX_MESSAGE_BYTES;
 use super::error::DiscoveryError;
-use super::messages::ListMessage;
+use super::messages::EndpointListMessage;
 use super::parser::{MessageParser, ParseProgress};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -62,7 +62,7 @@
 /// a message that is not complete by then is lost, and the next watch has to ask for it.
 pub async fn read_watch(
     mut body: Incoming,
-    mut on_message: impl FnMut(ListMessage),
+    mut on_message: impl FnMut(EndpointListMessage),
 ) -> Result<Infallible, DiscoveryError> {
     let mut parser = MessageParser::default();
     let mut liveness = Liveness::start();
--- a/tests/attempts/write_guard.rs
+++ b/tests/attempts/write_guard.rs
@@ -53,7 +53,8 @@
                     r#"{{"seq":2,"hosts":[{{"host":"a","dial":"{}","health":"draining"}}]}}"#,
                     worker.address
                 );
-                let message: llm_router::net::discovery::ListMessage = serde_json::from_str(&update).unwrap();
+                let message: llm_router::net::discovery::EndpointListMessage =
+                    serde_json::from_str(&update).unwrap();
                 upstream.client.directory.apply(&message.into());
             }
             Meanwhile::Nothing | Meanwhile::DeadlinePassed => {}
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 use llm_router::interface::Settings;
 use llm_router::net::discovery::{
-    Backoff, Dial, Directory, DiscoveryStream, EndpointUpdate, EndpointWatcher, ListMessage,
+    Backoff, Dial, Directory, DiscoveryStream, EndpointListMessage, EndpointUpdate, EndpointWatcher,
 };
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
@@ -267,7 +267,7 @@
         let text = format!(
             "{{\"seq\":1,\"whole\":{complete},\"hosts\":[{{\"host\":\"{worker}\",\"dial\":\"127.0.0.1:1\",\"health\":\"{status}\"}}]}}"
         );
-        EndpointUpdate::from(serde_json::from_str::<ListMessage>(&text).unwrap())
+        EndpointUpdate::from(serde_json::from_str::<EndpointListMessage>(&text).unwrap())
     };
     for i in 0..10 {
         directory.apply(&update(i % 2 == 0, format!("h{i}"), "ready"));
