--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to discovery.
 
 use super::MAX_MESSAGE_BYTES;
-use super::dial::Dial;
+use super::connector::Connector;
 use super::error::DiscoveryError;
 use super::messages::EndpointListMessage;
 use super::update::EndpointUpdate;
@@ -19,14 +19,14 @@
 /// Calls one discovery agent, each time on a connection of its own.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    dial: Dial,
+    connector: Connector,
     call_timeout: Duration,
 }
 
 impl DiscoveryClient {
     /// A client of the agent at an address, whose calls are given up after `call_timeout`.
-    pub fn new(address: SocketAddr, dial: Dial, call_timeout: Duration) -> Self {
-        DiscoveryClient { address, dial, call_timeout }
+    pub fn new(address: SocketAddr, connector: Connector, call_timeout: Duration) -> Self {
+        DiscoveryClient { address, connector, call_timeout }
     }
 
     /// Fetches the complete list. The timeout covers the call from the connection to the last byte.
@@ -65,7 +65,7 @@
     async fn get(&self, target: &str) -> Result<Response<Incoming>, DiscoveryError> {
         let address = self.address;
         let stream =
-            (self.dial)(address).await.map_err(|source| DiscoveryError::Connect { address, source })?;
+            (self.connector)(address).await.map_err(|source| DiscoveryError::Connect { address, source })?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|source| DiscoveryError::Handshake { address, source })?;
--- a/src/net/discovery/dial.rs
+++ b/src/net/discovery/connector.rs
@@ -15,10 +15,10 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> DiscoveryStream for T {}
 
 /// Connects to discovery at an address. Dropping the future gives the connection up.
-pub type Dial = Rc<dyn Fn(SocketAddr) -> Local<io::Result<Box<dyn DiscoveryStream>>>>;
+pub type Connector = Rc<dyn Fn(SocketAddr) -> Local<io::Result<Box<dyn DiscoveryStream>>>>;
 
 /// Connects over TCP.
-pub fn dial_tcp() -> Dial {
+pub fn tcp_connector() -> Connector {
     Rc::new(|address| {
         Box::pin(async move {
             let stream = connect(address, Instant::now() + CALL_TIMEOUT).await?;
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -7,7 +7,7 @@
 mod agent;
 mod backoff;
 mod client;
-mod dial;
+mod connector;
 mod directory;
 mod error;
 mod messages;
@@ -20,7 +20,7 @@
 mod withdrawn;
 
 pub use backoff::Backoff;
-pub use dial::{Dial, DiscoveryStream, dial_tcp};
+pub use connector::{Connector, DiscoveryStream, tcp_connector};
 pub use directory::Directory;
 pub use messages::EndpointListMessage;
 pub use update::{AddressedEndpoint, EndpointUpdate};
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -3,7 +3,7 @@
 use super::agent::AgentState;
 use super::backoff::Backoff;
 use super::client::DiscoveryClient;
-use super::dial::Dial;
+use super::connector::Connector;
 use super::directory::Directory;
 use super::error::DiscoveryError;
 use super::update::EndpointUpdate;
@@ -27,7 +27,7 @@
     /// Requests a poll of the complete list beside the watch.
     pub poll_requested: Rc<Notify>,
     /// Connects to discovery.
-    pub dial: Dial,
+    pub connector: Connector,
     /// Delays and timeouts of calls.
     pub backoff: Backoff,
     /// The router's counters.
@@ -100,7 +100,7 @@
         address: SocketAddr,
         agent: &AgentState,
     ) -> Result<Infallible, DiscoveryError> {
-        let client = DiscoveryClient::new(address, self.dial.clone(), self.backoff.call_timeout());
+        let client = DiscoveryClient::new(address, self.connector.clone(), self.backoff.call_timeout());
         if agent.needs_snapshot() {
             let snapshot = client.poll().await?;
             if snapshot.endpoints.is_empty() {
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -8,7 +8,7 @@
 use crate::frontend::jsonrpc::JsonRpcService;
 use crate::frontend::service::RequestService;
 use crate::interface::UpdateKind;
-use crate::net::discovery::{Backoff, Directory, EndpointWatcher, dial_tcp};
+use crate::net::discovery::{Backoff, Directory, EndpointWatcher, tcp_connector};
 use crate::net::server::accept::{Listener, RESERVED_CONNECTIONS};
 use crate::net::server::connections::Connections;
 use crate::net::server::memory_budget::MemoryBudget;
@@ -157,7 +157,7 @@
             driver: self.driver.clone(),
             close_idle_connections: Box::new(move |worker| pool.close_idle_connections(worker)),
             poll_requested: self.poll_requested.clone(),
-            dial: dial_tcp(),
+            connector: tcp_connector(),
             backoff: Backoff::new(&config.settings, config.seed),
             counters: self.counters.clone(),
         }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -2,7 +2,7 @@
 
 use llm_router::interface::Settings;
 use llm_router::net::discovery::{
-    Backoff, Dial, Directory, DiscoveryStream, EndpointListMessage, EndpointUpdate, EndpointWatcher,
+    Backoff, Connector, Directory, DiscoveryStream, EndpointListMessage, EndpointUpdate, EndpointWatcher,
 };
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
@@ -57,7 +57,7 @@
         }
     }
 
-    fn dial(self: Rc<Self>) -> Dial {
+    fn connector(self: Rc<Self>) -> Connector {
         Rc::new(move |_| {
             let agent = self.clone();
             Box::pin(async move {
@@ -124,7 +124,7 @@
             driver,
             close_idle_connections: Box::new(|_| {}),
             poll_requested: Rc::default(),
-            dial: agent.clone().dial(),
+            connector: agent.clone().connector(),
             backoff: Backoff::new(settings, seed),
             counters: Rc::default(),
         };
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -1,7 +1,7 @@
 //! Watching discovery where the order of events matters: the test plays the agent, one step at a time.
 
 use llm_router::interface::{Settings, UpdateKind, WorkerId};
-use llm_router::net::discovery::{Backoff, Dial, Directory, DiscoveryStream, EndpointWatcher};
+use llm_router::net::discovery::{Backoff, Connector, Directory, DiscoveryStream, EndpointWatcher};
 use llm_router::runtime::{Clock, DriverHandle, DriverInput};
 use rstest::rstest;
 use std::cell::Cell;
@@ -92,7 +92,7 @@
             driver,
             close_idle_connections: Box::new(|_| {}),
             poll_requested: poll_requested.clone(),
-            dial: dial_in_memory(call_sender, connects.clone()),
+            connector: in_memory_connector(call_sender, connects.clone()),
             backoff: Backoff::new(&Settings { replica_count: 3, ..Settings::default() }, 1),
             counters: Rc::default(),
         };
@@ -149,7 +149,7 @@
 }
 
 /// Hands the agent's end of each connection to the test.
-fn dial_in_memory(calls: mpsc::UnboundedSender<Call>, connects: Rc<Cell<bool>>) -> Dial {
+fn in_memory_connector(calls: mpsc::UnboundedSender<Call>, connects: Rc<Cell<bool>>) -> Connector {
     Rc::new(move |agent| {
         let (calls, connects) = (calls.clone(), connects.clone());
         Box::pin(async move {
