--- a/src/net/discovery/agent.rs
+++ b/src/net/discovery/agent.rs
@@ -1,66 +1,67 @@
-//! What the router knows of the discovery agent that it watches.
+//! State of the exchange with the discovery agent.
 
 use super::update::EndpointUpdate;
 use std::cell::Cell;
 
-/// Why an update of the agent is not applied.
+/// The reason why an update of the agent is not applied.
 #[derive(Debug, thiserror::Error)]
-pub enum IgnoredUpdate {
-    /// Sequence numbers never run backwards within one agent, so this answer was overtaken by another.
-    #[error("sequence {sequence} is older than sequence {newest}, which this agent has sent before")]
+pub enum UpdateRejection {
+    /// The sequence numbers of one agent never decrease, so a newer message overtook this one.
+    #[error("sequence {sequence} is older than sequence {newest} received earlier from this agent")]
     Outdated {
         /// The update's sequence number.
         sequence: u64,
-        /// The newest one of this agent.
+        /// The newest sequence number received from this agent.
         newest: u64,
     },
-    /// An agent that has just started may know no workers yet, which is no reason to think that all are gone.
-    #[error("sequence {sequence} is a complete list without workers")]
+    /// An agent that has just started may not know any workers yet, so an empty list does not mean that all
+    /// are gone.
+    #[error("the complete list of sequence {sequence} has no workers")]
     EmptySnapshot {
         /// The update's sequence number.
         sequence: u64,
     },
 }
 
-/// The state of the exchange with the present agent. A change of the agent's address starts it anew.
+/// State of the exchange with the current agent, reset when the agent's address changes.
 ///
-/// The fields are cells since a watch and a poll beside it both update them, within one task.
+/// The fields are cells since a watch and a concurrent poll in the same task both update them.
 #[derive(Default)]
 pub struct AgentState {
-    /// The newest sequence number that this agent has sent; `None` before its first update.
+    /// The newest sequence number received from this agent; `None` before its first update.
     newest_sequence: Cell<Option<u64>>,
-    /// Whether the list in use is another agent's: sequence numbers of one agent say nothing about another's list, so
-    /// the complete list has to be polled before its changes are watched.
+    /// Whether the current list came from another agent. Each agent numbers its own list, so the complete
+    /// list has to be polled before a watch can resume from a sequence number.
     needs_snapshot: Cell<bool>,
-    /// Consecutive failures: watches lost or not opened since one was last opened.
+    /// Consecutive failures: calls failed and watches lost since a watch was last opened.
     failures: Cell<u32>,
 }
 
 impl AgentState {
-    /// Starts anew with another agent.
+    /// Resets the state for a new agent.
     pub fn reset(&self) {
         self.newest_sequence.set(None);
         self.needs_snapshot.set(true);
         self.failures.set(0);
     }
 
-    /// Decides whether an update may be applied, and if so remembers its sequence number.
+    /// Checks whether an update may be applied, and records its sequence number if so.
     ///
     /// # Errors
-    /// The update has to be ignored.
-    pub fn accept(&self, update: &EndpointUpdate) -> Result<(), IgnoredUpdate> {
+    /// The update is outdated, or is a complete list without workers.
+    pub fn accept(&self, update: &EndpointUpdate) -> Result<(), UpdateRejection> {
         let sequence = update.sequence;
         if let Some(newest) = self.newest_sequence.get().filter(|newest| sequence < *newest) {
-            return Err(IgnoredUpdate::Outdated { sequence, newest });
+            return Err(UpdateRejection::Outdated { sequence, newest });
         }
         if update.complete && update.endpoints.is_empty() {
-            return Err(IgnoredUpdate::EmptySnapshot { sequence });
+            return Err(UpdateRejection::EmptySnapshot { sequence });
         }
         self.newest_sequence.set(Some(sequence));
         Ok(())
     }
 
-    /// Whether the complete list has to be polled before changes are watched.
+    /// Whether the complete list has to be polled before a watch is opened.
     pub fn needs_snapshot(&self) -> bool {
         self.needs_snapshot.get()
     }
@@ -70,17 +71,17 @@
         self.needs_snapshot.set(false);
     }
 
-    /// Consecutive failures so far.
+    /// The number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures.get()
     }
 
-    /// Records that a watch was lost or could not be opened.
+    /// Records that a call failed or a watch was lost.
     pub fn record_failure(&self) {
         self.failures.set(self.failures.get().saturating_add(1));
     }
 
-    /// Records that a watch was opened. Returns how many failures came before it.
+    /// Records that a watch was opened. Returns the number of failures before it.
     pub fn record_watch_opened(&self) -> u32 {
         self.failures.take()
     }
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to discovery.
+//! HTTP client of the discovery agent.
 
 use super::MAX_MESSAGE_BYTES;
 use super::connector::Connector;
@@ -16,7 +16,7 @@
 
 const LIST_PATH: &str = "/v1/servers";
 
-/// Calls one discovery agent, each time on a connection of its own.
+/// HTTP client of one discovery agent; opens a new connection for each call.
 pub struct DiscoveryClient {
     address: SocketAddr,
     connector: Connector,
@@ -24,24 +24,25 @@
 }
 
 impl DiscoveryClient {
-    /// A client of the agent at an address, whose calls are given up after `call_timeout`.
+    /// Creates a client of the agent at `address` whose calls time out after `call_timeout`.
     pub fn new(address: SocketAddr, connector: Connector, call_timeout: Duration) -> Self {
         DiscoveryClient { address, connector, call_timeout }
     }
 
-    /// Fetches the complete list. The timeout covers the call from the connection to the last byte.
+    /// Fetches the complete list. The timeout covers the call from connecting to the last byte of the body.
     pub async fn poll(&self) -> Result<EndpointUpdate, DiscoveryError> {
-        self.within_timeout(LIST_PATH, self.fetch_list()).await
+        self.with_timeout(LIST_PATH, self.fetch_list()).await
     }
 
-    /// Opens a watch of the changes after a sequence number. The timeout covers the call up to the response's head.
+    /// Opens a watch of the changes after a sequence number. The timeout covers the call up to the response
+    /// head.
     pub async fn open_watch(&self, after: u64) -> Result<Incoming, DiscoveryError> {
         let target = format!("{LIST_PATH}?watch=1&after={after}");
-        let response = self.within_timeout(&target, self.get(&target)).await?;
+        let response = self.with_timeout(&target, self.get(&target)).await?;
         Ok(response.into_body())
     }
 
-    async fn within_timeout<T>(
+    async fn with_timeout<T>(
         &self,
         target: &str,
         call: impl Future<Output = Result<T, DiscoveryError>>,
@@ -56,12 +57,12 @@
         let response = self.get(LIST_PATH).await?;
         let body = read_body(response.into_body()).await?;
         let message: EndpointListMessage = serde_json::from_slice(&body).map_err(DiscoveryError::Parse)?;
-        // The answer to a poll is the complete list, whether it says so or not.
+        // The response to a poll is the complete list, even if the message does not say so.
         Ok(EndpointUpdate { complete: true, ..message.into() })
     }
 
-    /// Sends a request and returns its response once the head has come. The connection runs in a task of its own, which
-    /// ends by itself when the response is dropped, or this future before there is one.
+    /// Sends a request and returns its response once the head has arrived. The connection is driven by its
+    /// own task, which ends when the response is dropped, or when this future is dropped before it returns.
     async fn get(&self, target: &str) -> Result<Response<Incoming>, DiscoveryError> {
         let address = self.address;
         let stream =
--- a/src/net/discovery/connector.rs
+++ b/src/net/discovery/connector.rs
@@ -1,6 +1,6 @@
-//! Connecting to discovery.
+//! Connectors that open the byte streams to discovery.
 
-use super::mode::CALL_TIMEOUT;
+use super::mode::LOCAL_CALL_TIMEOUT;
 use crate::net::Local;
 use crate::net::socket::{Socket, connect};
 use std::io;
@@ -9,19 +9,19 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
-/// A byte stream to discovery.
+/// A bidirectional byte stream to discovery.
 pub trait DiscoveryStream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> DiscoveryStream for T {}
 
-/// Connects to discovery at an address. Dropping the future gives the connection up.
+/// Opens a connection to discovery at an address. Dropping the future cancels the attempt.
 pub type Connector = Rc<dyn Fn(SocketAddr) -> Local<io::Result<Box<dyn DiscoveryStream>>>>;
 
-/// Connects over TCP.
+/// Returns a connector that uses TCP.
 pub fn tcp_connector() -> Connector {
     Rc::new(|address| {
         Box::pin(async move {
-            let stream = connect(address, Instant::now() + CALL_TIMEOUT).await?;
+            let stream = connect(address, Instant::now() + LOCAL_CALL_TIMEOUT).await?;
             Ok(Box::new(Socket::new(Rc::new(stream))) as Box<dyn DiscoveryStream>)
         })
     })
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A worker of the endpoint list, as it was listed last.
+/// The last reported state of a listed worker.
 struct ListedWorker {
     address: Option<SocketAddr>,
     status: WorkerStatus,
@@ -16,7 +16,7 @@
 }
 
 impl ListedWorker {
-    /// Whether connections to `other` lead to the same process as connections to this.
+    /// Whether `other` describes the same process at the same address.
     fn is_same_process(&self, other: &ListedWorker) -> bool {
         self.started_at == other.started_at && self.address == other.address
     }
@@ -26,36 +26,36 @@
     }
 }
 
-/// The endpoint list as it is at this moment, for whoever is about to send.
+/// The current endpoint list, which the upstream client consults before it sends.
 ///
-/// It is newer than the driver's view: a send that the driver decided on may be withheld because of it.
+/// It may be newer than the driver's view, so a send that the driver has decided on can still be withheld.
 #[derive(Default)]
 pub struct Directory {
-    /// All workers that are listed and not gone.
+    /// The listed workers except those that are gone.
     workers: RefCell<HashMap<WorkerId, ListedWorker>>,
     sequence: Cell<u64>,
     withdrawn: RefCell<WithdrawnWorkers>,
 }
 
 impl Directory {
-    /// Applies an update. Returns the workers whose idle connections are of no more use: their process was restarted or
-    /// moved to another address, or they are gone.
+    /// Applies an update. Returns the workers whose idle connections are stale: the process was restarted,
+    /// moved to another address, or is gone.
     pub fn apply(&self, update: &EndpointUpdate) -> Vec<WorkerId> {
         self.sequence.set(update.sequence);
         if update.complete {
             self.workers.borrow_mut().values_mut().for_each(|worker| worker.status = WorkerStatus::Gone);
         }
-        let mut unusable = self.insert_listed(&update.endpoints);
-        unusable.extend(self.remove_gone());
-        unusable
+        let mut stale = self.upsert(&update.endpoints);
+        stale.extend(self.remove_gone());
+        stale
     }
 
-    /// Inserts or replaces the workers that an update lists. Returns those that were restarted or moved.
-    fn insert_listed(&self, listed: &[AddressedEndpoint]) -> Vec<WorkerId> {
+    /// Inserts or replaces the workers of an update. Returns those that were restarted or moved.
+    fn upsert(&self, endpoints: &[AddressedEndpoint]) -> Vec<WorkerId> {
         let mut workers = self.workers.borrow_mut();
         let mut restarted = Vec::new();
-        for AddressedEndpoint { endpoint, address } in listed {
-            self.record_withdrawal(endpoint);
+        for AddressedEndpoint { endpoint, address } in endpoints {
+            self.update_withdrawn(endpoint);
             let previous = workers.get(&endpoint.worker);
             let current = ListedWorker {
                 address: address.or_else(|| previous.and_then(|worker| worker.address)),
@@ -71,7 +71,7 @@
         restarted
     }
 
-    fn record_withdrawal(&self, endpoint: &Endpoint) {
+    fn update_withdrawn(&self, endpoint: &Endpoint) {
         let mut withdrawn = self.withdrawn.borrow_mut();
         match endpoint.status {
             WorkerStatus::Ready => withdrawn.remove(&endpoint.worker),
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Removes the workers that are gone and returns them. Machines are replaced under new ids for as long as the router
-    /// runs, so a directory that kept them would grow without bound.
+    /// Removes and returns the workers that are gone. Machines are replaced under new ids while the router
+    /// runs, so the directory would otherwise grow without bound.
     fn remove_gone(&self) -> Vec<WorkerId> {
         let mut withdrawn = self.withdrawn.borrow_mut();
         let mut gone = Vec::new();
         let mut workers = self.workers.borrow_mut();
-        let listed = workers.len();
+        let listed_count = workers.len();
         workers.retain(|id, worker| {
             let is_gone = worker.status == WorkerStatus::Gone;
             if is_gone {
@@ -96,12 +96,13 @@
             }
             !is_gone
         });
-        withdrawn.forget_oldest(listed);
+        withdrawn.evict_oldest(listed_count);
         gone
     }
 
-    /// Corrects an update of another agent whose list is older than the one that was last applied: workers already known
-    /// to be draining or gone are listed as draining, so that an agent that has not heard of it yet brings none back.
+    /// Corrects an update from another agent whose list is older than the one last applied: workers already
+    /// known to be draining or gone are marked as draining, so that an agent that lags behind does not return
+    /// them to service.
     pub(super) fn mark_withdrawn_as_draining(&self, update: &mut EndpointUpdate) {
         if update.sequence >= self.sequence.get() {
             return;
@@ -111,27 +112,30 @@
             let is_withdrawn = withdrawn.contains(&endpoint.worker, endpoint.started_at);
             if endpoint.status == WorkerStatus::Ready && is_withdrawn {
                 endpoint.status = WorkerStatus::Draining;
-                log::info!("discovery: {} is listed as Ready by an older list: draining", endpoint.worker.0);
+                log::info!(
+                    "discovery: {} is Ready in an outdated list; treated as Draining",
+                    endpoint.worker.0
+                );
             }
         }
     }
 
-    /// The sequence number of the update that was last applied.
+    /// The sequence number of the last applied update.
     pub(super) fn sequence(&self) -> u64 {
         self.sequence.get()
     }
 
-    /// A worker's address, if it is listed and the address is known.
+    /// The address of a worker, if the worker is listed and its address is known.
     pub fn address(&self, worker: &WorkerId) -> Option<SocketAddr> {
         self.workers.borrow().get(worker)?.address
     }
 
-    /// Whether a worker may be sent new work at this moment.
+    /// Whether a worker accepts new requests.
     pub fn is_ready(&self, worker: &WorkerId) -> bool {
         self.workers.borrow().get(worker).is_some_and(|worker| worker.status == WorkerStatus::Ready)
     }
 
-    /// Up to `limit` workers that run: those in service first, then those that are draining.
+    /// Up to `limit` running workers: ready ones first, then draining ones.
     pub fn running(&self, limit: usize) -> Vec<WorkerId> {
         let workers = self.workers.borrow();
         let with_status = |status| {
@@ -141,13 +145,13 @@
         with_status(WorkerStatus::Ready).chain(with_status(WorkerStatus::Draining)).take(limit).collect()
     }
 
-    /// Whether the workers in service can do both stages, prefill and decode, between them.
+    /// Whether the ready workers cover both stages, prefill and decode.
     pub fn can_serve(&self, kinds: &[WorkerKind]) -> bool {
         let workers = self.workers.borrow();
-        let has = |role| {
+        let has_ready = |role| {
             workers.values().any(|worker| worker.status == WorkerStatus::Ready && worker.role(kinds) == role)
         };
-        has(Role::Unified) || (has(Role::Prefill) && has(Role::Decode))
+        has_ready(Role::Unified) || (has_ready(Role::Prefill) && has_ready(Role::Decode))
     }
 }
 
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,95 +1,96 @@
-//! What can go wrong with a call to discovery or with a watch.
+//! Errors of calls to discovery and of watches.
 
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a poll failed or a watch ended.
+/// The reason why a call failed or a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The connection could not be made.
+    /// Connecting to discovery failed.
     #[error("connecting to {address}: {source}")]
     Connect {
-        /// Where discovery should be.
+        /// Address of discovery.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// The connection could not be set up for HTTP.
-    #[error("setting up HTTP on the connection to {address}: {source}")]
+    /// The HTTP handshake on the connection failed.
+    #[error("HTTP handshake with {address}: {source}")]
     Handshake {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
-        /// What hyper said.
+        /// The error from hyper.
         source: hyper::Error,
     },
-    /// The request is no valid HTTP.
+    /// The request could not be built.
     #[error("building the request GET {target}: {source}")]
     BuildRequest {
         /// Path and query of the request.
         target: String,
-        /// What is not valid.
+        /// The reason why the request is invalid.
         source: hyper::http::Error,
     },
-    /// The request could not be sent, or its response did not come.
+    /// The request could not be sent, or the connection failed before the response head.
     #[error("GET {target} at {address}: {source}")]
     Request {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
         /// Path and query of the request.
         target: String,
-        /// What hyper said.
+        /// The error from hyper.
         source: hyper::Error,
     },
-    /// The request was answered with an error.
-    #[error("GET {target} at {address}: answered with status {status}")]
+    /// The response status is not 200.
+    #[error("GET {target} at {address}: unexpected status {status}")]
     Status {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
         /// Path and query of the request.
         target: String,
-        /// The status that is not 200.
+        /// The response status.
         status: hyper::StatusCode,
     },
-    /// The call took too long.
+    /// The call timed out.
     #[error("GET {target} at {address}: no response within {timeout:?}")]
     CallTimedOut {
-        /// Where discovery is.
+        /// Address of discovery.
         address: SocketAddr,
         /// Path and query of the request.
         target: String,
-        /// How long the call could take.
+        /// The timeout of the call.
         timeout: Duration,
     },
-    /// A response's body broke off.
-    #[error("reading a response's body: {0}")]
+    /// Reading a response body failed.
+    #[error("reading the response body: {0}")]
     Body(#[source] hyper::Error),
-    /// A polled list could not be parsed.
+    /// The response to a poll is malformed.
     #[error("parsing the polled endpoint list: {0}")]
     Parse(#[source] serde_json::Error),
-    /// A message grew longer than any endpoint list.
-    #[error("a message is longer than {limit} bytes")]
+    /// A message exceeds the size limit.
+    #[error("message exceeds {limit} bytes")]
     MessageTooLong {
-        /// The longest message that is read.
+        /// The maximum size of a message.
         limit: usize,
     },
-    /// A new agent's list has no workers: it has just started and does not know them yet.
+    /// The snapshot of a new agent has no workers: the agent has just started and does not know them yet.
     #[error("the polled endpoint list is empty")]
     EmptySnapshot,
-    /// Nothing that shows life came on the watch.
+    /// No line ended within the idle timeout, or a message stayed incomplete or malformed for too long.
     #[error("the watch made no progress for {timeout:?}")]
     WatchIdle {
-        /// How long a watch may be idle.
+        /// The idle timeout of a watch.
         timeout: Duration,
     },
-    /// The agent ended the watch.
+    /// The agent closed the watch.
     #[error("the watch ended")]
     WatchEnded,
 }
 
 impl DiscoveryError {
-    /// How long this router waited in vain before it noticed: discovery may have been back for as long as that.
-    pub fn silent_for(&self) -> Duration {
+    /// The time spent waiting without a response before the failure was detected. Discovery may have
+    /// recovered soon after this wait began.
+    pub fn unresponsive_for(&self) -> Duration {
         match self {
             DiscoveryError::CallTimedOut { timeout, .. } | DiscoveryError::WatchIdle { timeout } => *timeout,
             _ => Duration::ZERO,
--- a/src/net/discovery/messages.rs
+++ b/src/net/discovery/messages.rs
@@ -1,11 +1,11 @@
-//! The JSON messages of discovery, and their translation into the terms of the domain.
+//! The JSON messages of discovery and their conversion to domain types.
 
 use super::update::{AddressedEndpoint, EndpointUpdate};
 use crate::interface::{Endpoint, WorkerId, WorkerStatus};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A message of discovery: the complete endpoint list, or changes of it.
+/// A message from discovery: a snapshot of the endpoint list or a delta.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointListMessage {
     #[serde(rename = "seq")]
@@ -16,7 +16,7 @@
     endpoints: Vec<EndpointMessage>,
 }
 
-/// A worker in a message, under the names that discovery uses.
+/// A worker in a message, with the field names of the discovery protocol.
 #[derive(Clone, Debug, Deserialize)]
 struct EndpointMessage {
     #[serde(rename = "host")]
@@ -42,7 +42,7 @@
     1.0
 }
 
-/// A worker's status as discovery writes it.
+/// The status of a worker in a message.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum StatusMessage {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Service discovery: the list of workers and the watch of its changes.
+//! Service discovery: the endpoint list and the watch that keeps it up to date.
 //!
-//! [`EndpointWatcher`] polls the discovery agent, watches it for changes, writes what it learns to the [`Directory`] and
-//! notifies the driver. While discovery is unreachable or silent, the current list stays in use: losing discovery never
-//! takes a worker out of service.
+//! [`EndpointWatcher`] polls the discovery agent, watches it for changes, applies updates to the
+//! [`Directory`] and notifies the driver. While discovery is unreachable or unresponsive, the current list
+//! stays in use: losing discovery never takes a worker out of service.
 
 mod agent;
 mod backoff;
@@ -26,5 +26,5 @@
 pub use update::{AddressedEndpoint, EndpointUpdate};
 pub use watcher::EndpointWatcher;
 
-/// The longest message that is read: a list of thousands of workers.
+/// Maximum size of a message; leaves room for a list of thousands of workers.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
--- a/src/net/discovery/mode.rs
+++ b/src/net/discovery/mode.rs
@@ -1,34 +1,36 @@
-//! How routers reach discovery, and how long a call may take there.
+//! The ways in which discovery is deployed, and the call timeout of each.
 
 use crate::interface::Settings;
 use std::time::Duration;
 
-/// A call to the agent on the same machine, which answers at once, is given up after this, connecting included.
-pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same at a shared service, where a call may be queued: the service itself fails it after 2 s. A router that gave up
-/// before that would call again from the end of the queue, and the call left behind would be served for nobody.
+/// Timeout of a call to the agent on the same machine, which responds at once; it includes connecting.
+pub const LOCAL_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of a call to a shared service, which queues calls and fails them itself after 2 s. A router that
+/// timed out earlier would join the end of the queue again, and the service would still process the abandoned
+/// call.
 pub const SHARED_CALL_TIMEOUT: Duration = Duration::from_millis(2_250);
 
-/// Who answers the calls of this router.
+/// How discovery is deployed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// An agent on the same machine, called by this router alone.
+    /// An agent on the same machine that serves only this router.
     LocalAgent,
-    /// One service for all routers, which queues their calls. Routers start, lose their watches and fail together, and
-    /// calls that come faster than it answers them keep it busy with calls that have timed out already.
+    /// One service for all routers, which queues their calls. Routers start, lose their watches and fail at
+    /// the same time; calls that arrive faster than the service can handle keep it busy with calls that have
+    /// already timed out.
     SharedService,
 }
 
 impl DiscoveryMode {
-    /// The mode of a deployment.
+    /// The mode that the settings select.
     pub fn new(settings: &Settings) -> Self {
         if settings.watch_required { DiscoveryMode::SharedService } else { DiscoveryMode::LocalAgent }
     }
 
-    /// After how long a call is given up.
+    /// The timeout of a call, connecting included.
     pub fn call_timeout(self) -> Duration {
         match self {
-            DiscoveryMode::LocalAgent => CALL_TIMEOUT,
+            DiscoveryMode::LocalAgent => LOCAL_CALL_TIMEOUT,
             DiscoveryMode::SharedService => SHARED_CALL_TIMEOUT,
         }
     }
--- a/src/net/discovery/object_scanner.rs
+++ b/src/net/discovery/object_scanner.rs
@@ -1,9 +1,10 @@
-//! Where a JSON object ends, found as its bytes arrive.
+//! Incremental search for the end of a JSON object.
 
-/// Follows the braces and strings of one JSON object, looking at each byte once.
+/// Tracks the brace depth and string state of one JSON object; scans each byte once.
 #[derive(Default)]
 pub struct ObjectScanner {
-    scanned: usize,
+    /// Number of bytes scanned so far.
+    scanned_bytes: usize,
     depth: usize,
     is_in_string: bool,
     is_escaped: bool,
@@ -11,14 +12,14 @@
 }
 
 impl ObjectScanner {
-    /// Scans what has been appended to the buffer since the last call; whether the buffer holds a complete object. The
-    /// buffer starts with the object.
+    /// Scans the bytes appended to the buffer since the last call. Returns whether the buffer holds a
+    /// complete object. The buffer has to start with the object.
     pub fn scan(&mut self, buffer: &[u8]) -> bool {
-        for byte in buffer.iter().skip(self.scanned) {
+        for byte in buffer.iter().skip(self.scanned_bytes) {
             if self.is_complete {
                 break;
             }
-            self.scanned += 1;
+            self.scanned_bytes += 1;
             self.scan_byte(*byte);
         }
         self.is_complete
--- a/src/net/discovery/parser.rs
+++ b/src/net/discovery/parser.rs
@@ -1,46 +1,46 @@
-//! The messages in the byte stream of a watch.
+//! Incremental parser of the messages in the byte stream of a watch.
 
 use super::messages::EndpointListMessage;
 use super::object_scanner::ObjectScanner;
 use bytes::{Buf, BytesMut};
 
-/// A shorter buffer is parsed at each piece that arrives, whether or not a message is complete.
+/// Below this size, the buffer is parsed after each chunk that arrives, even if no message is complete.
 const SHORT_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How the parser fared with the bytes that it had.
+/// Result of parsing the buffered bytes after a chunk was added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ParseProgress {
-    /// There was no complete message.
+pub enum ParseOutcome {
+    /// No message was complete.
     NoMessage,
-    /// There were one or more complete messages, and the last of them could be parsed.
+    /// At least one message was complete, and the last one was valid.
     Parsed,
-    /// The last complete message could not be parsed.
+    /// The last message was malformed.
     Malformed,
 }
 
 /// Splits the byte stream of a watch into messages.
 ///
-/// Messages are JSON objects. One may be spread over several lines and over any number of pieces, and empty lines may
-/// stand between two of them. What is no JSON object and cannot become one is skipped to the end of its line.
+/// Messages are JSON objects. A message may span several lines and any number of chunks, and empty lines may
+/// separate messages. Bytes that cannot be the start of a valid message are skipped up to the next newline.
 #[derive(Default)]
 pub struct MessageParser {
-    /// Starts with a message, or with what is none.
+    /// The bytes not yet consumed, starting with a message or with malformed data.
     buffer: BytesMut,
-    /// Finds the end of that message.
+    /// Finds the end of the first message in the buffer.
     scanner: ObjectScanner,
-    /// How long the buffer was when parsing it failed for want of more.
-    parsed_bytes: usize,
+    /// Size of the buffer at the last attempt to parse an incomplete message.
+    attempted_bytes: usize,
 }
 
 impl MessageParser {
-    /// Takes in the next bytes of the stream and hands over each message that is complete now.
-    pub fn push(&mut self, data: &[u8], mut on_message: impl FnMut(EndpointListMessage)) -> ParseProgress {
+    /// Appends the next chunk of the stream and calls `on_message` for each message that is now complete.
+    pub fn push(&mut self, data: &[u8], mut on_message: impl FnMut(EndpointListMessage)) -> ParseOutcome {
         self.buffer.extend_from_slice(data);
-        let mut progress = ParseProgress::NoMessage;
+        let mut outcome = ParseOutcome::NoMessage;
         loop {
             self.skip_whitespace();
-            if !self.is_parsed_now() {
-                return progress;
+            if !self.should_parse() {
+                return outcome;
             }
             let mut messages =
                 serde_json::Deserializer::from_slice(&self.buffer).into_iter::<EndpointListMessage>();
@@ -48,48 +48,49 @@
                 Some(Ok(message)) => {
                     let end = messages.byte_offset();
                     self.advance(end);
-                    progress = ParseProgress::Parsed;
+                    outcome = ParseOutcome::Parsed;
                     on_message(message);
                 }
                 Some(Err(error)) if !error.is_eof() => {
-                    log::warn!("discovery: skipping a line that cannot be parsed: {error}");
+                    log::warn!("discovery: skipping a malformed line: {error}");
                     if self.buffer.starts_with(b"{") {
-                        progress = ParseProgress::Malformed;
+                        outcome = ParseOutcome::Malformed;
                     }
                     self.skip_line();
                 }
                 _ => {
-                    self.parsed_bytes = self.buffer.len();
-                    return progress;
+                    self.attempted_bytes = self.buffer.len();
+                    return outcome;
                 }
             }
         }
     }
 
-    /// The number of bytes that belong to a message that is not complete yet.
+    /// The number of buffered bytes of an incomplete message.
     pub fn incomplete_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether it is time to parse the buffer: a message is complete, or what has arrived may be malformed.
+    /// Whether to parse the buffer now: a message is complete, or the buffer has to be checked for malformed
+    /// data.
     ///
-    /// The latter is tried at each piece while the buffer is short, and then only when it has doubled: a message that
-    /// comes in many pieces would otherwise be parsed from its start at each of them.
-    fn is_parsed_now(&mut self) -> bool {
+    /// A short buffer is checked after each chunk, a longer one only once it has doubled: otherwise a long
+    /// message would be parsed from its start again after each of its chunks.
+    fn should_parse(&mut self) -> bool {
         if self.scanner.scan(&self.buffer) {
             return true;
         }
-        let is_worth_trying =
-            self.buffer.len() < SHORT_BUFFER_BYTES || self.buffer.len() >= 2 * self.parsed_bytes;
-        is_worth_trying && self.buffer.contains(&b'\n')
+        let is_check_due =
+            self.buffer.len() < SHORT_BUFFER_BYTES || self.buffer.len() >= 2 * self.attempted_bytes;
+        is_check_due && self.buffer.contains(&b'\n')
     }
 
-    /// Removes bytes from the front of the buffer. What follows is another message.
+    /// Removes bytes from the front of the buffer, up to the start of another message.
     fn advance(&mut self, bytes: usize) {
         self.buffer.advance(bytes);
         if bytes > 0 {
             self.scanner = ObjectScanner::default();
-            self.parsed_bytes = 0;
+            self.attempted_bytes = 0;
         }
     }
 
--- a/src/net/discovery/update.rs
+++ b/src/net/discovery/update.rs
@@ -1,30 +1,30 @@
-//! Updates of the endpoint list in the terms of the domain.
+//! Updates of the endpoint list as domain types.
 
 use crate::interface::{Endpoint, UpdateKind};
 use std::net::SocketAddr;
 
-/// A worker of the list together with its address, which only the network code needs.
+/// An endpoint with its network address, which only the network code needs.
 #[derive(Clone, Debug)]
 pub struct AddressedEndpoint {
-    /// The worker.
+    /// The worker as the policy sees it.
     pub endpoint: Endpoint,
-    /// Where it is reached; `None` keeps the address that is already known.
+    /// The address of the worker; `None` keeps the known address.
     pub address: Option<SocketAddr>,
 }
 
-/// The complete endpoint list, or changes of it.
+/// A snapshot of the endpoint list or a delta.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdate {
-    /// The sequence number of the list once this update is applied. Each agent numbers its own list.
+    /// Sequence number of the list after this update. Each agent numbers its own list.
     pub sequence: u64,
-    /// Whether this is the complete list: workers that are not in it are gone.
+    /// Whether this is a snapshot: workers missing from it are gone.
     pub complete: bool,
-    /// The workers that are listed.
+    /// All workers in a snapshot, the changed ones in a delta.
     pub endpoints: Vec<AddressedEndpoint>,
 }
 
 impl EndpointUpdate {
-    /// What this contains when it comes from an agent.
+    /// The kind of an update received from an agent.
     pub(super) fn kind(&self) -> UpdateKind {
         if self.complete { UpdateKind::Snapshot } else { UpdateKind::Delta }
     }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,27 +1,27 @@
-//! Reading a watch of the endpoint list, and noticing when it is dead.
+//! Reads a watch of the endpoint list and detects when it is dead.
 
 use super::MAX_MESSAGE_BYTES;
 use super::error::DiscoveryError;
 use super::messages::EndpointListMessage;
-use super::parser::{MessageParser, ParseProgress};
+use super::parser::{MessageParser, ParseOutcome};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use std::convert::Infallible;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A watch on which no line ends for this long is dead: the agent writes at least an empty one every 2 s.
+/// Idle timeout of a watch. The agent writes a line, possibly an empty one, at least every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A message that has begun has to be complete within this, however slowly its bytes come, and a malformed one has to be
-/// followed by another: otherwise the change in it is lost, and a new watch has to ask for it again.
-const OBJECT_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Limit on the time from the first byte of a message to its last, and from a malformed message to the next
+/// valid one. After that the change in it counts as lost, and a new watch has to request it again.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Until when the watch counts as alive.
+/// The times that determine when a watch is considered dead.
 struct Liveness {
-    /// When a line last ended. Bytes that end no line are no sign of life.
+    /// Time of the last newline. Other bytes do not prove that the watch is alive.
     last_line_at: Instant,
-    /// Since when a message has been incomplete, or has been known to be lost because it was malformed. Lines alone are
-    /// no sign of life then.
+    /// Time since which a message has been incomplete, or lost because it was malformed. Newlines do not
+    /// extend the deadline of such a message.
     incomplete_since: Option<Instant>,
 }
 
@@ -30,10 +30,10 @@
         Liveness { last_line_at: Instant::now(), incomplete_since: None }
     }
 
-    /// The moment at which the watch counts as dead unless something comes before.
+    /// The time at which the watch is considered dead unless data arrives before.
     fn deadline(&self) -> Instant {
         let idle_deadline = self.last_line_at + WATCH_IDLE_TIMEOUT;
-        self.incomplete_since.map_or(idle_deadline, |since| idle_deadline.min(since + OBJECT_TIMEOUT))
+        self.incomplete_since.map_or(idle_deadline, |since| idle_deadline.min(since + MESSAGE_TIMEOUT))
     }
 
     fn record_data(&mut self, data: &[u8]) {
@@ -42,11 +42,11 @@
         }
     }
 
-    fn record_progress(&mut self, progress: ParseProgress, incomplete_bytes: usize) {
-        match progress {
-            ParseProgress::Parsed => self.incomplete_since = None,
-            ParseProgress::Malformed => self.mark_incomplete(),
-            ParseProgress::NoMessage => {}
+    fn record_parse(&mut self, outcome: ParseOutcome, incomplete_bytes: usize) {
+        match outcome {
+            ParseOutcome::Parsed => self.incomplete_since = None,
+            ParseOutcome::Malformed => self.mark_incomplete(),
+            ParseOutcome::NoMessage => {}
         }
         if incomplete_bytes > 0 {
             self.mark_incomplete();
@@ -58,8 +58,8 @@
     }
 }
 
-/// Reads a watch until it fails or ends, and hands over its messages as they come. Dropping the future closes the watch;
-/// a message that is not complete by then is lost, and the next watch has to ask for it.
+/// Reads a watch until it fails or ends, and calls `on_message` for each message. Dropping the future closes
+/// the watch; an incomplete message is then discarded, and the next watch has to request it again.
 pub async fn read_watch(
     mut body: Incoming,
     mut on_message: impl FnMut(EndpointListMessage),
@@ -73,8 +73,8 @@
         let frame = frame.ok_or(DiscoveryError::WatchEnded)?.map_err(DiscoveryError::Body)?;
         let Ok(data) = frame.into_data() else { continue };
         liveness.record_data(&data);
-        let progress = parser.push(&data, &mut on_message);
-        liveness.record_progress(progress, parser.incomplete_bytes());
+        let outcome = parser.push(&data, &mut on_message);
+        liveness.record_parse(outcome, parser.incomplete_bytes());
         if parser.incomplete_bytes() > MAX_MESSAGE_BYTES {
             return Err(DiscoveryError::MessageTooLong { limit: MAX_MESSAGE_BYTES });
         }
--- a/src/net/discovery/watcher.rs
+++ b/src/net/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! The loop that keeps the router's endpoint list up to date.
+//! The loop that keeps the endpoint list up to date.
 
 use super::agent::AgentState;
 use super::backoff::Backoff;
@@ -16,26 +16,27 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, watch};
 
-/// Watches discovery for as long as the router runs.
+/// Watches discovery, applies updates to the directory and notifies the driver.
 pub struct EndpointWatcher {
-    /// The list that is kept up to date.
+    /// The endpoint list that updates are applied to.
     pub directory: Rc<Directory>,
-    /// The driver that is notified of updates.
+    /// Receives each update, and a notification when discovery becomes unavailable.
     pub driver: DriverHandle,
-    /// Called for workers whose idle connections are of no more use.
+    /// Called for each worker whose idle connections are stale.
     pub close_idle_connections: Box<dyn Fn(&WorkerId)>,
-    /// Requests a poll of the complete list beside the watch.
+    /// Notified when the policy requests a poll of the complete list; the watch continues meanwhile.
     pub poll_requested: Rc<Notify>,
-    /// Connects to discovery.
+    /// Opens connections to the discovery agent.
     pub connector: Connector,
-    /// Delays and timeouts of calls.
+    /// Delays between calls, and their timeout.
     pub backoff: Backoff,
-    /// The router's counters.
+    /// Counts failed calls and lost watches.
     pub counters: Rc<Counters>,
 }
 
 impl EndpointWatcher {
-    /// Applies an update to the directory, closes the idle connections that it makes useless, and notifies the driver.
+    /// Applies an update to the directory, closes the idle connections that it makes stale, and notifies the
+    /// driver.
     pub fn apply(&self, update: EndpointUpdate, kind: UpdateKind) {
         log_endpoints(&update, kind);
         for worker in self.directory.apply(&update) {
@@ -47,9 +48,9 @@
 
     /// Watches the agent at `address` until the sender of the address is dropped.
     ///
-    /// A watch that fails is opened again after a delay, from the sequence number that was reached. When the address
-    /// changes, the call or watch under way is given up at once and the new agent is called instead. Dropping the future
-    /// stops the watch; the directory keeps the list.
+    /// A failed watch is reopened after a backoff delay, from the last applied sequence number. When the
+    /// address changes, the call or watch in progress is cancelled at once and the new agent is called.
+    /// Dropping the future closes the watch; the directory keeps the list.
     pub async fn run(self, mut address: watch::Receiver<Option<SocketAddr>>) {
         let agent = AgentState::default();
         if let Some(delay) = self.backoff.initial_delay() {
@@ -63,7 +64,7 @@
                 continue;
             };
             let Err(error) = tokio::select! {
-                // Biased: once the address has changed, nothing that the old agent still sends may be applied.
+                // Biased: once the address has changed, no update of the old agent may be applied.
                 biased;
                 changed = address.changed() => {
                     if changed.is_err() {
@@ -75,9 +76,9 @@
                 failed = self.poll_and_watch(current, &agent) => failed,
             };
             self.record_failure(&error, &agent);
-            let delay = self.backoff.delay(agent.failures(), error.silent_for());
+            let delay = self.backoff.delay(agent.failures(), error.unresponsive_for());
             tokio::select! {
-                // A new agent is called without waiting for the delay, which is for the old one's sake.
+                // The backoff protects the old agent only; a new one is called at once.
                 _ = address.changed() => agent.reset(),
                 () = tokio::time::sleep(delay) => {}
             }
@@ -86,7 +87,7 @@
 
     fn record_failure(&self, error: &DiscoveryError, agent: &AgentState) {
         self.counters.watches_lost.increment();
-        // An outage may last long: only its first failure is a warning.
+        // An outage may be long, so only its first failure is logged as a warning.
         let level = if agent.failures() == 0 { log::Level::Warn } else { log::Level::Debug };
         log::log!(level, "discovery: {error}; the current endpoint list stays in use");
         agent.record_failure();
@@ -94,7 +95,7 @@
         self.driver.submit(DriverInput::EndpointsUpdated { kind, endpoints: Vec::new() });
     }
 
-    /// Polls the complete list if the agent is new, then watches until something fails.
+    /// Polls the complete list if the agent is new, then watches for changes until a call or the watch fails.
     async fn poll_and_watch(
         &self,
         address: SocketAddr,
@@ -111,17 +112,18 @@
         }
         let body = client.open_watch(self.directory.sequence()).await?;
         if agent.record_watch_opened() > 0 {
-            log::info!("discovery: watching again after sequence {}", self.directory.sequence());
+            log::info!("discovery: watch reopened after sequence {}", self.directory.sequence());
         }
-        // Neither side may wait for the other: the watch goes on while a poll is under way, and the failure of either ends
-        // both. A poll that is cancelled with its watch is not repeated; the driver learns that discovery is unavailable.
+        // Watch and poll run concurrently so that neither delays the other; the failure of one ends both. A
+        // poll that is cancelled with its watch is not repeated; the driver is notified that discovery is
+        // unavailable.
         tokio::select! {
             failed = read_watch(body, |message| self.apply_from_agent(message.into(), agent)) => failed,
             failed = self.poll_on_request(&client, agent) => failed,
         }
     }
 
-    /// Polls the complete list each time the policy requests it, until a poll fails.
+    /// Polls the complete list whenever the policy requests it, until a poll fails.
     async fn poll_on_request(
         &self,
         client: &DiscoveryClient,
@@ -134,10 +136,10 @@
         }
     }
 
-    /// Applies an update that the present agent sent, unless it has to be ignored.
+    /// Applies an update from the current agent unless it is rejected.
     fn apply_from_agent(&self, mut update: EndpointUpdate, agent: &AgentState) {
-        if let Err(reason) = agent.accept(&update) {
-            log::warn!("discovery: ignoring an update: {reason}");
+        if let Err(rejection) = agent.accept(&update) {
+            log::warn!("discovery: update rejected: {rejection}");
             return;
         }
         self.directory.mark_withdrawn_as_draining(&mut update);
@@ -146,7 +148,8 @@
     }
 }
 
-/// Logs each worker of an update. Complete lists are long and mostly known, so they are logged at a lower level.
+/// Logs each worker of an update. Complete lists are long and mostly unchanged, so they are logged at debug
+/// level.
 fn log_endpoints(update: &EndpointUpdate, update_kind: UpdateKind) {
     let level = if update_kind == UpdateKind::Delta { log::Level::Info } else { log::Level::Debug };
     let sequence = update.sequence;
