--- a/src/import/haproxy/directives.rs
+++ b/src/import/haproxy/directives.rs
@@ -2,13 +2,13 @@
 
 use super::error::ImportErrorKind;
 use super::lexer::Line;
-use super::values::{parse_address, parse_number, parse_time};
+use super::values::{parse_address, parse_duration, parse_number};
 use crate::interface::Micros;
 use std::net::SocketAddr;
 
-/// What a proxy section says.
+/// The settings of a proxy section.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Proxy {
+pub(super) struct ProxySettings {
     pub binds: Vec<Bind>,
     pub servers: Vec<Server>,
     pub default_backend: Option<BackendReference>,
@@ -18,14 +18,14 @@
     pub retries: Option<u64>,
 }
 
-/// An address to listen on.
+/// A listening address of a frontend.
 #[derive(Clone, Debug)]
 pub(super) struct Bind {
     pub line: usize,
     pub address: SocketAddr,
 }
 
-/// The backend to which a frontend sends what nothing else applies to.
+/// The default backend of a frontend, for requests that no `use_backend` rule matches.
 #[derive(Clone, Debug)]
 pub(super) struct BackendReference {
     pub line: usize,
@@ -37,14 +37,14 @@
 pub(super) struct Server {
     pub name: String,
     pub address: SocketAddr,
-    /// At least 1.
+    /// Load-balancing weight, at least 1.
     pub weight: u64,
-    /// Whether it gets nothing new.
+    /// Whether the server receives no new requests.
     pub is_disabled: bool,
 }
 
-impl Proxy {
-    /// Reads one directive. Gives back what can't be carried over.
+impl ProxySettings {
+    /// Reads one directive. Returns descriptions of the parts that cannot be imported.
     pub fn read_directive(&mut self, line: &Line<'_>) -> Result<Vec<String>, ImportErrorKind> {
         let mut omissions = Vec::new();
         match (line.keyword, line.arguments) {
@@ -54,7 +54,7 @@
             ("server", [name, address, options @ ..]) => {
                 omissions.extend(self.read_server(name, address, options)?);
             }
-            ("timeout", [event, time, ..]) => omissions.extend(self.read_timeout(event, time)?),
+            ("timeout", [event, duration, ..]) => omissions.extend(self.read_timeout(event, duration)?),
             ("retries", [count, ..]) => self.retries = Some(parse_number(count)?),
             ("default_backend", [name, ..]) => {
                 self.default_backend = Some(BackendReference { line: line.number, name: (*name).to_owned() });
@@ -63,9 +63,9 @@
                 return Err(ImportErrorKind::MissingValue { keyword: keyword.to_owned() });
             }
             ("mode", ["http"]) => {}
-            ("mode", [mode]) => omissions.push(format!("mode {mode}: requests are taken over HTTP")),
-            ("balance", _) => omissions.push("balance: the module decides where requests go".into()),
-            (keyword, _) => omissions.push(format!("{keyword} has no counterpart")),
+            ("mode", [mode]) => omissions.push(format!("mode {mode}: only HTTP is supported")),
+            ("balance", _) => omissions.push("balance: the routing policy selects the worker".into()),
+            (keyword, _) => omissions.push(format!("{keyword} has no equivalent")),
         }
         Ok(omissions)
     }
@@ -80,7 +80,7 @@
         for text in addresses.split(',') {
             match parse_address(text)? {
                 Some(address) => self.binds.push(Bind { line, address }),
-                None => omissions.push(format!("bind {text}: not an address with one port")),
+                None => omissions.push(format!("bind {text}: not an IP address with a single port")),
             }
         }
         if !options.is_empty() {
@@ -96,7 +96,9 @@
         options: &[&str],
     ) -> Result<Option<String>, ImportErrorKind> {
         let Some(parsed) = parse_address(address)? else {
-            return Ok(Some(format!("server {name}: {address} is no address (there is no DNS here)")));
+            return Ok(Some(format!(
+                "server {name}: {address} is not an IP address (names are not resolved)"
+            )));
         };
         let mut server = Server { name: name.to_owned(), address: parsed, weight: 1, is_disabled: false };
         let omission = server.read_options(options)?;
@@ -104,12 +106,12 @@
         Ok(omission)
     }
 
-    fn read_timeout(&mut self, event: &str, time: &str) -> Result<Option<String>, ImportErrorKind> {
-        let time = parse_time(time)?;
+    fn read_timeout(&mut self, event: &str, duration: &str) -> Result<Option<String>, ImportErrorKind> {
+        let duration = parse_duration(duration)?;
         match event {
-            "connect" => self.connect_timeout = Some(time),
-            "server" => self.server_timeout = Some(time),
-            "http-keep-alive" => self.keep_alive_timeout = Some(time),
+            "connect" => self.connect_timeout = Some(duration),
+            "server" => self.server_timeout = Some(duration),
+            "http-keep-alive" => self.keep_alive_timeout = Some(duration),
             other => return Ok(Some(format!("timeout {other}"))),
         }
         Ok(None)
@@ -117,7 +119,7 @@
 }
 
 impl Server {
-    /// Gives back the options that can't be carried over.
+    /// Reads the options of a `server` line. Returns a description of those that cannot be imported.
     fn read_options(&mut self, options: &[&str]) -> Result<Option<String>, ImportErrorKind> {
         let mut omitted = Vec::new();
         let mut options = options.iter();
@@ -133,7 +135,7 @@
                 other => omitted.push(other),
             }
         }
-        // HAProxy sends nothing new to a server of weight 0.
+        // HAProxy sends no new requests to a server of weight 0.
         if self.weight == 0 {
             self.weight = 1;
             self.is_disabled = true;
--- a/src/import/haproxy/error.rs
+++ b/src/import/haproxy/error.rs
@@ -1,126 +1,126 @@
-//! Why a file can't be imported.
+//! Errors of the import.
 
-/// Why a file can't be imported, and where.
+/// An error in the HAProxy configuration, with its line.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {kind}")]
 pub struct ImportError {
-    /// The line, from 1; one past the last where something is missing from the whole file.
+    /// Line number, from 1; one past the last line if the file as a whole lacks something.
     pub line: usize,
-    /// What is wrong.
+    /// The error.
     #[source]
     pub kind: ImportErrorKind,
 }
 
-/// What is wrong with a line, or with the whole file.
+/// The kind of an error in a line or in the file as a whole.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportErrorKind {
     /// A line ends with a backslash.
-    #[error("nothing follows the backslash")]
-    DanglingBackslash,
+    #[error("backslash at the end of the line")]
+    TrailingBackslash,
     /// A line ends inside a quote.
-    #[error("a quote is not closed")]
-    UnclosedQuote,
-    /// A length of time with a unit that HAProxy does not have.
-    #[error("unknown unit of time {unit:?} in {text:?}")]
+    #[error("unterminated quote")]
+    UnterminatedQuote,
+    /// A duration has a unit that HAProxy does not define.
+    #[error("unknown time unit {unit:?} in {text:?}")]
     UnknownTimeUnit {
         /// The unit.
         unit: String,
-        /// The whole text.
+        /// The whole value.
         text: String,
     },
-    /// A length of time without a number, or one that is too long.
-    #[error("{text:?} is not a length of time")]
-    InvalidTime {
-        /// The text.
+    /// A duration has no number or is too long.
+    #[error("{text:?} is not a valid duration")]
+    InvalidDuration {
+        /// The value.
         text: String,
     },
-    /// Not a number, or one that is too large.
-    #[error("{text:?} is not a number")]
+    /// A value is not a number or is too large.
+    #[error("{text:?} is not a number of at most 32 bits")]
     InvalidNumber {
-        /// The text.
+        /// The value.
         text: String,
     },
-    /// An address without a port.
+    /// An address has no port.
     #[error("{address:?} has no port")]
     MissingPort {
         /// The address.
         address: String,
     },
-    /// An address whose port is not a number from 1 to 65535.
-    #[error("{port:?} is not a port")]
+    /// The port of an address is not a number from 1 to 65535.
+    #[error("{port:?} is not a valid port")]
     InvalidPort {
         /// The port.
         port: String,
     },
-    /// A section takes its defaults from a section that there is not.
+    /// A section refers to a `defaults` section that does not exist.
     #[error("no defaults section is named {name:?}")]
     UnknownDefaults {
         /// The name.
         name: String,
     },
-    /// A section that has to have a name has none.
+    /// A section that requires a name has none.
     #[error("{keyword} has no name")]
     UnnamedSection {
-        /// The kind of section.
+        /// The section type.
         keyword: String,
     },
-    /// A frontend's section line carries more than its name, as old versions allowed.
-    #[error("a frontend's address belongs on a bind line")]
-    AddressInSectionLine,
-    /// Two sections of a kind have the same name.
-    #[error("{keyword} {name:?} is there already")]
+    /// The section header of a frontend has an address after the name, as old HAProxy versions allowed.
+    #[error("the address of a frontend has to be on a bind line")]
+    AddressInSectionHeader,
+    /// Two sections of the same type have the same name.
+    #[error("duplicate section {keyword} {name:?}")]
     DuplicateSection {
-        /// The kind of section.
+        /// The section type.
         keyword: String,
         /// The name.
         name: String,
     },
-    /// A directive comes before any section.
-    #[error("{keyword:?} stands outside of any section")]
+    /// A directive precedes the first section.
+    #[error("{keyword:?} outside of any section")]
     OutsideSection {
         /// The directive.
         keyword: String,
     },
-    /// A directive that HAProxy does not allow among defaults.
-    #[error("{keyword} does not belong into defaults")]
+    /// A directive is not allowed in a `defaults` section.
+    #[error("{keyword} is not allowed in a defaults section")]
     NotAllowedInDefaults {
         /// The directive.
         keyword: String,
     },
-    /// A directive without the value that it has to have.
-    #[error("{keyword} lacks a value")]
+    /// A directive lacks a required value.
+    #[error("{keyword} requires a value")]
     MissingValue {
         /// The directive.
         keyword: String,
     },
-    /// A directive or an option without the number that it has to have.
-    #[error("{keyword} has no number")]
+    /// A directive or an option lacks a required number.
+    #[error("{keyword} requires a number")]
     MissingNumber {
         /// The directive or option.
         keyword: &'static str,
     },
-    /// Nothing in the file takes connections.
+    /// No section accepts connections.
     #[error("no frontend or listen section with an address to bind")]
     NoFrontend,
-    /// A frontend's backend does not exist.
+    /// The default backend of a frontend does not exist.
     #[error("no backend is named {name:?}")]
     UnknownBackend {
         /// The name.
         name: String,
     },
-    /// No server can be reached from the frontend.
-    #[error("{frontend} leads to no server")]
+    /// None of the backends that the frontend uses has a server.
+    #[error("no server is reachable from {frontend}")]
     NoServers {
         /// The frontend.
         frontend: String,
     },
-    /// The operator's file could not be written as TOML.
+    /// The operator's file could not be serialized as TOML.
     #[error(transparent)]
     Toml(#[from] toml::ser::Error),
 }
 
 impl ImportErrorKind {
-    /// The error with its line.
+    /// Adds the line number.
     pub(super) fn at(self, line: usize) -> ImportError {
         ImportError { line, kind: self }
     }
--- a/src/import/haproxy/lexer.rs
+++ b/src/import/haproxy/lexer.rs
@@ -1,43 +1,43 @@
-//! Lines and their words.
+//! Lexer of the HAProxy configuration: splits lines into words.
 
 use super::error::ImportErrorKind;
 
-/// A line that is not empty.
+/// The words of a line that is not empty.
 pub(super) struct Line<'a> {
-    /// From 1.
+    /// Line number, from 1.
     pub number: usize,
-    /// Its first word: a directive, or the kind of section that begins.
+    /// The first word: the name of a directive, or the type of the section that begins.
     pub keyword: &'a str,
-    /// Its other words.
+    /// The other words.
     pub arguments: &'a [&'a str],
 }
 
-/// Splits a line as HAProxy does: at spaces, with quotes, backslashes and comments.
+/// Splits a line into words by HAProxy's rules for whitespace, quotes, backslashes and comments.
 pub(super) fn split_words(line: &str) -> Result<Vec<String>, ImportErrorKind> {
     let mut words = Vec::new();
-    // `None` between words. A word may be empty: one of which there are only quotes.
+    // `None` between words. A word of quotes alone is empty but still a word.
     let mut word: Option<String> = None;
     let mut quote = None;
-    let mut letters = line.chars();
-    while let Some(letter) = letters.next() {
-        match (letter, quote) {
-            (letter, Some(open)) if letter == open => quote = None,
+    let mut characters = line.chars();
+    while let Some(character) = characters.next() {
+        match (character, quote) {
+            (character, Some(open)) if character == open => quote = None,
             ('"' | '\'', None) => {
-                quote = Some(letter);
+                quote = Some(character);
                 word.get_or_insert_default();
             }
-            // Single quotes keep backslashes.
-            ('\\', None | Some('"')) => match letters.next() {
+            // Backslashes are literal within single quotes.
+            ('\\', None | Some('"')) => match characters.next() {
                 Some(escaped) => word.get_or_insert_default().push(escaped),
-                None => return Err(ImportErrorKind::DanglingBackslash),
+                None => return Err(ImportErrorKind::TrailingBackslash),
             },
             ('#', None) => break,
-            (letter, None) if letter.is_whitespace() => words.extend(word.take()),
-            (letter, _) => word.get_or_insert_default().push(letter),
+            (character, None) if character.is_whitespace() => words.extend(word.take()),
+            (character, _) => word.get_or_insert_default().push(character),
         }
     }
     if quote.is_some() {
-        return Err(ImportErrorKind::UnclosedQuote);
+        return Err(ImportErrorKind::UnterminatedQuote);
     }
     words.extend(word);
     Ok(words)
--- a/src/import/haproxy/mod.rs
+++ b/src/import/haproxy/mod.rs
@@ -1,9 +1,10 @@
-//! Imports HAProxy's configuration: writes an operator's file of what can be carried over, and lists the rest.
+//! Converts an HAProxy configuration to an operator's file and reports the directives that have no
+//! equivalent.
 //!
-//! HAProxy knows neither prefill and decode workers nor classes of request. The servers of a backend named `prompt`,
-//! `read`, `reader` or `readers` become prefill workers, those of one named `answer`, `write`, `writer` or `writers`
-//! decode workers; servers of any other do both. There is one class, which is not idempotent: the safe choice for
-//! traffic of which nothing is known.
+//! HAProxy has neither prefill and decode workers nor request classes. Servers of a backend named `prompt`,
+//! `read`, `reader` or `readers` become prefill workers, servers of a backend named `answer`, `write`,
+//! `writer` or `writers` become decode workers, and servers of any other backend become unified workers. The
+//! single request class is not idempotent, which is the safe assumption for unknown traffic.
 
 mod directives;
 mod error;
@@ -21,41 +22,42 @@
 use sections::Document;
 use std::fmt::Write as _;
 
-/// What came of an import.
+/// The result of an import.
 #[derive(Debug)]
 pub struct Import {
-    /// The operator's file; what could not be carried over stands at its top.
+    /// The content of the operator's file; the omissions are listed in a comment at its top.
     pub file: String,
-    /// What could not be carried over, in the order of lines.
+    /// The directives and sections that were not imported, sorted by line.
     pub omissions: Vec<Omission>,
 }
 
-/// Something that could not be carried over.
+/// A directive, option or section that was not imported.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Omission {
-    /// Its line, from 1.
+    /// Line number in the HAProxy configuration, from 1.
     pub line: usize,
-    /// What it is, and why where that is not plain.
+    /// What was omitted, and the reason if it is not obvious.
     pub description: String,
 }
 
-/// Reads HAProxy's configuration and writes the operator's file.
+/// Converts an HAProxy configuration to an operator's file.
 ///
 /// # Errors
-/// The first line that is malformed, or what the whole file lacks.
+/// The first malformed line, or a part that the configuration as a whole lacks.
 pub fn import(text: &str) -> Result<Import, ImportError> {
     let mut document = Document::default();
     for (index, line) in text.lines().enumerate() {
         let number = index + 1;
         read_line(&mut document, number, line).map_err(|kind| kind.at(number))?;
     }
-    let end = text.lines().count() + 1;
-    let (routes, unreachable) = Routes::find(&document, end)?;
-    let content = operator_file::write(&routes, document.max_connections()).map_err(|kind| kind.at(end))?;
+    let end_line = text.lines().count() + 1;
+    let (routes, unreachable) = Routes::find(&document, end_line)?;
+    let content =
+        operator_file::write(&routes, document.max_connections()).map_err(|kind| kind.at(end_line))?;
     let mut omissions = document.into_omissions();
     omissions.extend(unreachable);
     omissions.sort();
-    let file = heading(&omissions) + "\n" + &content;
+    let file = header_comment(&omissions) + "\n" + &content;
     Ok(Import { file, omissions })
 }
 
@@ -69,13 +71,13 @@
 }
 
 /// The comment at the top of the operator's file.
-fn heading(omissions: &[Omission]) -> String {
-    let mut heading =
+fn header_comment(omissions: &[Omission]) -> String {
+    let mut comment =
         String::from("# Imported from HAProxy's configuration. Start: llm-router serve THIS-FILE\n");
     for Omission { line, description } in omissions {
-        // Text in quotes may hold what would end the comment.
+        // Quoted text may contain control characters, such as a newline, that would end the comment.
         let description = description.replace(char::is_control, " ");
-        let _ = writeln!(heading, "# line {line}, not carried over: {description}");
+        let _ = writeln!(comment, "# line {line}, not carried over: {description}");
     }
-    heading
+    comment
 }
--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -1,9 +1,9 @@
-//! The operator's file that an import writes.
+//! Serialization of the operator's file.
 //!
-//! The structures have the shape of the file. Their fields stand in the alphabetical order of the keys, in which the
-//! file has them.
+//! The structs mirror the tables of the file. Their fields are in the alphabetical order of the serialized
+//! keys, which is the order of the keys in the file.
 
-use super::directives::{Proxy, Server};
+use super::directives::{ProxySettings, Server};
 use super::error::ImportErrorKind;
 use super::roles::{Role, role_of_backend};
 use super::routes::{Backend, Routes};
@@ -11,26 +11,26 @@
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Descriptors beside those of connections.
+/// File descriptors reserved for purposes other than connections.
 const RESERVED_SOCKETS: u64 = 64;
-/// The fewest descriptors that the router is given.
+/// Minimum file descriptor limit of the router.
 const MIN_SOCKETS: u64 = 256;
-/// The one zone: HAProxy's configuration knows none.
+/// The single zone, since an HAProxy configuration has no zones.
 const ZONE: &str = "here";
-/// How long clients wait, where no timeout for servers says so.
+/// Client timeout where no server timeout is set.
 const DEFAULT_CLIENT_TIMEOUT: Micros = 30_000_000;
-/// The shortest client timeout, however short the timeout for servers is.
+/// Minimum client timeout, regardless of the server timeout.
 const MIN_CLIENT_TIMEOUT: Micros = 1_000_000;
-/// The latency objective is the client timeout divided by this.
-const CLIENT_TIMEOUT_PER_OBJECTIVE: Micros = 4;
-/// HAProxy's own default.
+/// Divisor of the client timeout that gives the latency objective.
+const OBJECTIVE_DIVISOR: Micros = 4;
+/// The default of HAProxy.
 const DEFAULT_RETRIES: u64 = 3;
-/// Where no connect timeout is stated.
+/// Connect timeout where none is set.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// Where no keep-alive timeout is stated.
+/// Timeout of idle connections where no keep-alive timeout is set.
 const DEFAULT_IDLE_TIMEOUT: Micros = 30_000_000;
 
-/// Writes the file's content.
+/// Serializes the operator's file.
 pub(super) fn write(routes: &Routes<'_>, max_connections: Option<u64>) -> Result<String, ImportErrorKind> {
     let file = OperatorFile {
         known: EndpointList {
@@ -90,7 +90,7 @@
 }
 
 impl<'a> Worker<'a> {
-    /// The workers that a backend's servers become.
+    /// The servers of a backend as workers.
     fn of_backend(backend: &Backend<'a>) -> impl Iterator<Item = Self> {
         let kind = backend.name;
         backend.settings.servers.iter().map(move |server| Worker::new(kind, server))
@@ -114,9 +114,9 @@
 }
 
 impl Limits {
-    /// Each of HAProxy's connections is one of a client, and needs one to a server.
-    fn for_connections(count: u64) -> Self {
-        Limits { sockets: (2 * count + RESERVED_SOCKETS).max(MIN_SOCKETS) }
+    /// `maxconn` counts client connections, and each of them needs a connection to a server.
+    fn for_connections(max_connections: u64) -> Self {
+        Limits { sockets: (2 * max_connections + RESERVED_SOCKETS).max(MIN_SOCKETS) }
     }
 }
 
@@ -157,7 +157,7 @@
     }
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Serialize)]
 struct Class {
     #[serde(rename = "effect")]
@@ -171,13 +171,13 @@
 
 impl Class {
     fn new(routes: &Routes<'_>) -> Self {
-        let server_timeout = stated(routes, |proxy| proxy.server_timeout);
+        let server_timeout = configured(routes, |proxy| proxy.server_timeout);
         let client_timeout = server_timeout.unwrap_or(DEFAULT_CLIENT_TIMEOUT).max(MIN_CLIENT_TIMEOUT);
         Class {
             idempotency: "non_idempotent",
             client_timeout,
             name: "default",
-            first_token_objective: client_timeout / CLIENT_TIMEOUT_PER_OBJECTIVE,
+            first_token_objective: client_timeout / OBJECTIVE_DIVISOR,
         }
     }
 }
@@ -207,11 +207,12 @@
 
 impl Permissions {
     fn new(routes: &Routes<'_>) -> Self {
-        let idle_connection_timeout = stated(routes, |proxy| proxy.keep_alive_timeout);
+        let idle_connection_timeout = configured(routes, |proxy| proxy.keep_alive_timeout);
         Permissions {
-            connect_timeout: stated(routes, |proxy| proxy.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            connect_timeout: configured(routes, |proxy| proxy.connect_timeout)
+                .unwrap_or(DEFAULT_CONNECT_TIMEOUT),
             idle_connection_timeout: idle_connection_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
-            max_attempts: stated(routes, |proxy| proxy.retries).unwrap_or(DEFAULT_RETRIES) + 1,
+            max_attempts: configured(routes, |proxy| proxy.retries).unwrap_or(DEFAULT_RETRIES) + 1,
             max_retry_after: 2_000_000,
             cancellation_allowed: true,
             retry_after_allowed: true,
@@ -236,7 +237,7 @@
 }
 
 impl Rules {
-    /// Workers count as warm from their start: nothing in HAProxy's configuration says how they warm up.
+    /// Disables slow start, since an HAProxy configuration does not describe how workers warm up.
     const WITHOUT_SLOW_START: Rules = Rules {
         answer_grace: 16_000,
         slow_start_floor: 1.0,
@@ -247,8 +248,9 @@
     };
 }
 
-/// A setting of the backends, else of the frontend: as in HAProxy, what concerns servers is stated where they are.
-fn stated(routes: &Routes<'_>, setting: fn(&Proxy) -> Option<u64>) -> Option<u64> {
-    let of_backend = routes.backends.iter().find_map(|backend| setting(backend.settings));
-    of_backend.or_else(|| setting(routes.frontend))
+/// The value of a setting in the first backend that has it, otherwise in the frontend: as in HAProxy,
+/// settings that concern servers belong to the backend.
+fn configured(routes: &Routes<'_>, setting: fn(&ProxySettings) -> Option<u64>) -> Option<u64> {
+    let from_backends = routes.backends.iter().find_map(|backend| setting(backend.settings));
+    from_backends.or_else(|| setting(routes.frontend))
 }
--- a/src/import/haproxy/roles.rs
+++ b/src/import/haproxy/roles.rs
@@ -1,8 +1,8 @@
-//! The roles of backends, by their names.
+//! Worker roles derived from backend names.
 
 use serde::Serialize;
 
-/// What the servers of a backend do.
+/// The role of a backend's servers.
 #[derive(Clone, Copy, PartialEq, Serialize)]
 pub(super) enum Role {
     #[serde(rename = "read")]
@@ -13,7 +13,7 @@
     Unified,
 }
 
-/// The role that a backend's name stands for.
+/// The role implied by a backend's name.
 pub(super) fn role_of_backend(name: &str) -> Role {
     match name {
         "prompt" | "read" | "reader" | "readers" => Role::Prefill,
--- a/src/import/haproxy/sections.rs
+++ b/src/import/haproxy/sections.rs
@@ -1,13 +1,13 @@
-//! Sections of the file, and which one a directive belongs to.
+//! Sections of the configuration and the directives in them.
 
 use super::Omission;
-use super::directives::Proxy;
+use super::directives::ProxySettings;
 use super::error::ImportErrorKind;
 use super::lexer::Line;
 use super::values::parse_number;
 
-/// Sections that HAProxy knows and an operator's file has nothing for.
-const OTHER_SECTIONS: [&str; 15] = [
+/// HAProxy sections without an equivalent in an operator's file.
+const UNSUPPORTED_SECTIONS: [&str; 15] = [
     "acme",
     "cache",
     "crt-store",
@@ -25,7 +25,7 @@
     "dynamic-update",
 ];
 
-/// What a file says, as far as it has been read.
+/// The parsed part of a configuration.
 #[derive(Default)]
 pub(super) struct Document {
     current: Option<Section>,
@@ -35,44 +35,44 @@
     omissions: Vec<Omission>,
 }
 
-/// The section that directives belong to. Indices are into the document's lists.
+/// The section being read. Indices refer to the document's lists.
 #[derive(Clone, Copy)]
 enum Section {
     Global,
     Defaults(usize),
     Proxy(usize),
-    Other,
+    Unsupported,
 }
 
 /// A `defaults` section.
 struct Defaults {
-    /// Empty when it has none: then no section refers to it by name.
+    /// Empty for an unnamed section, which no other section can refer to by name.
     name: String,
-    settings: Proxy,
+    settings: ProxySettings,
 }
 
 /// A `frontend`, `backend` or `listen` section.
 pub(super) struct ProxySection {
-    /// Its name, with the kind of section before it unless it is a backend: HAProxy allows a frontend and a backend of
-    /// one name.
+    /// Unique key: the name, preceded by the section type except for a backend, since HAProxy allows a
+    /// frontend and a backend with the same name.
     pub key: String,
-    /// The line that begins it.
+    /// Line number of the section header.
     pub line: usize,
-    /// Whether it takes connections from clients, as a frontend or `listen` section does.
+    /// Whether the section accepts client connections, as `frontend` and `listen` sections do.
     pub accepts_clients: bool,
-    /// What it says, defaults included.
-    pub settings: Proxy,
+    /// The settings, including the inherited defaults.
+    pub settings: ProxySettings,
 }
 
-/// The words of a section's line after its kind.
-struct SectionLine<'a> {
-    /// Empty when it has none.
+/// The arguments of a section header.
+struct SectionHeader<'a> {
+    /// Empty for an unnamed section.
     name: &'a str,
-    /// The defaults section that it refers to.
+    /// The name of the `defaults` section to inherit from.
     defaults: Option<&'a str>,
 }
 
-impl<'a> SectionLine<'a> {
+impl<'a> SectionHeader<'a> {
     fn parse(arguments: &[&'a str]) -> Self {
         let (name, defaults) = match *arguments {
             [] => ("", None),
@@ -80,7 +80,7 @@
             [name, "from", defaults] => (name, Some(defaults)),
             [name, ..] => (name, None),
         };
-        SectionLine { name, defaults }
+        SectionHeader { name, defaults }
     }
 }
 
@@ -96,55 +96,56 @@
         }
     }
 
-    /// The `frontend`, `backend` and `listen` sections, in the order of the file.
+    /// The `frontend`, `backend` and `listen` sections in file order.
     pub fn proxies(&self) -> &[ProxySection] {
         &self.proxies
     }
 
-    /// How many connections the process may have, if stated.
+    /// The connection limit of the process (`maxconn`), if set.
     pub fn max_connections(&self) -> Option<u64> {
         self.max_connections
     }
 
-    /// What could not be carried over, in no particular order.
+    /// The parts that cannot be imported, in no particular order.
     pub fn into_omissions(self) -> Vec<Omission> {
         self.omissions
     }
 
-    /// Begins the section that the line names, if it is the first line of one.
+    /// Begins a new section if the line is a section header.
     fn begin_section(&mut self, line: &Line<'_>) -> Result<Option<Section>, ImportErrorKind> {
         match line.keyword {
             "global" => Ok(Some(Section::Global)),
             "defaults" => self.begin_defaults(line).map(Some),
             "frontend" | "listen" | "backend" => self.begin_proxy(line).map(Some),
-            other if OTHER_SECTIONS.contains(&other) => {
-                self.omit(line.number, format!("section {other} has no counterpart"));
-                Ok(Some(Section::Other))
+            other if UNSUPPORTED_SECTIONS.contains(&other) => {
+                self.omit(line.number, format!("section {other} has no equivalent"));
+                Ok(Some(Section::Unsupported))
             }
             _ => Ok(None),
         }
     }
 
-    /// A `defaults` section begins with what the section that it refers to says.
+    /// Begins a `defaults` section, which inherits the settings of the `defaults` section that it names.
     fn begin_defaults(&mut self, line: &Line<'_>) -> Result<Section, ImportErrorKind> {
-        let SectionLine { name, defaults } = SectionLine::parse(line.arguments);
+        let SectionHeader { name, defaults } = SectionHeader::parse(line.arguments);
         let settings = match defaults {
             Some(defaults) => self.named_defaults(defaults)?,
-            None => Proxy::default(),
+            None => ProxySettings::default(),
         };
         self.defaults.push(Defaults { name: name.to_owned(), settings });
         Ok(Section::Defaults(self.defaults.len() - 1))
     }
 
-    /// A proxy section begins with the defaults that it names, else with the last ones before it.
+    /// Begins a proxy section, which inherits from the `defaults` section that it names, otherwise from the
+    /// preceding one.
     fn begin_proxy(&mut self, line: &Line<'_>) -> Result<Section, ImportErrorKind> {
         let keyword = line.keyword;
-        let SectionLine { name, defaults } = SectionLine::parse(line.arguments);
+        let SectionHeader { name, defaults } = SectionHeader::parse(line.arguments);
         if name.is_empty() {
             return Err(ImportErrorKind::UnnamedSection { keyword: keyword.to_owned() });
         }
         if keyword == "frontend" && matches!(line.arguments, [_, second, ..] if *second != "from") {
-            return Err(ImportErrorKind::AddressInSectionLine);
+            return Err(ImportErrorKind::AddressInSectionHeader);
         }
         let key = if keyword == "backend" { name.to_owned() } else { format!("{keyword} {name}") };
         if self.proxies.iter().any(|proxy| proxy.key == key) {
@@ -160,8 +161,8 @@
         Ok(Section::Proxy(self.proxies.len() - 1))
     }
 
-    /// What the defaults section of that name says; of several, the last.
-    fn named_defaults(&self, name: &str) -> Result<Proxy, ImportErrorKind> {
+    /// The settings of the last `defaults` section with this name.
+    fn named_defaults(&self, name: &str) -> Result<ProxySettings, ImportErrorKind> {
         let found = self.defaults.iter().rev().find(|defaults| !name.is_empty() && defaults.name == name);
         match found {
             Some(defaults) => Ok(defaults.settings.clone()),
@@ -169,12 +170,12 @@
         }
     }
 
-    /// Passes a directive to the section that it belongs to, and notes what can't be carried over.
+    /// Reads a directive of the current section and records the parts that cannot be imported.
     fn read_directive(&mut self, line: &Line<'_>) -> Result<(), ImportErrorKind> {
         let keyword = line.keyword;
         let omissions = match self.current {
             None => return Err(ImportErrorKind::OutsideSection { keyword: keyword.to_owned() }),
-            Some(Section::Other) => vec![format!("{keyword}, in a section that has no counterpart")],
+            Some(Section::Unsupported) => vec![format!("{keyword}, in a section that has no equivalent")],
             Some(Section::Global) => self.read_global_directive(line)?,
             Some(Section::Defaults(_)) if matches!(keyword, "bind" | "server") => {
                 return Err(ImportErrorKind::NotAllowedInDefaults { keyword: keyword.to_owned() });
@@ -188,7 +189,7 @@
         Ok(())
     }
 
-    /// Gives back what can't be carried over.
+    /// Reads a directive of the `global` section. Returns descriptions of the parts that cannot be imported.
     fn read_global_directive(&mut self, line: &Line<'_>) -> Result<Vec<String>, ImportErrorKind> {
         match (line.keyword, line.arguments) {
             ("maxconn", [count, ..]) => {
@@ -196,7 +197,7 @@
                 Ok(Vec::new())
             }
             ("maxconn", []) => Err(ImportErrorKind::MissingNumber { keyword: "maxconn" }),
-            (keyword, _) => Ok(vec![format!("global {keyword} has no counterpart")]),
+            (keyword, _) => Ok(vec![format!("global {keyword} has no equivalent")]),
         }
     }
 
--- a/src/import/mod.rs
+++ b/src/import/mod.rs
@@ -1,3 +1,3 @@
-//! Importers that write an operator's file from the configuration of another proxy.
+//! Importers that convert the configuration of another proxy to an operator's file.
 
 pub mod haproxy;
