--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! Watching discovery on a paused clock and over pipes in memory: whatever fails, a change arrives in time.
+//! Tests of the discovery watch with a paused clock and in-memory streams: the driver is notified of each
+//! change within the deadline, whatever fails.
 
 use llm_router::interface::Settings;
 use llm_router::net::discovery::{
@@ -13,43 +14,43 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// The driver has to be notified of a change this long after discovery had it and could be reached.
+/// Time within which the driver has to be notified of a change once discovery has it and is reachable.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
-/// The agent writes a line at least this often.
+/// Maximum time between two lines of the agent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// The change that all agents of these tests have at some time.
+/// The change that each agent of these tests reports.
 const CHANGE: &str = "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"answer-9\",\"dial\":\"127.0.0.1:1\",\
                       \"class\":\"answer\",\"health\":\"ready\"}]}";
 
-/// How an agent reacts to a call.
+/// Reaction of an agent to a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Reaction {
     RefuseConnection,
     NoResponse,
     RespondWith503,
-    /// Respond after so long.
+    /// Respond after a delay.
     RespondAfter(Duration),
 }
 
-const RESPOND_AT_ONCE: Reaction = Reaction::RespondAfter(Duration::ZERO);
+const RESPOND_IMMEDIATELY: Reaction = Reaction::RespondAfter(Duration::ZERO);
 
-/// A discovery agent in memory. All its times are counted from its start.
+/// An in-memory discovery agent. Its durations are relative to its start.
 struct Agent {
-    started: Instant,
-    /// The reaction to a call that begins at this time.
+    started_at: Instant,
+    /// Returns the reaction to a call that starts at the given time.
     reaction: Box<dyn Fn(Duration) -> Reaction>,
-    /// From when on it has the change.
+    /// Time from which the agent has the change.
     change_at: Duration,
-    /// Watches opened before this say nothing more from then on.
+    /// Time from which watches opened earlier receive no more data.
     silent_at: Option<Duration>,
-    /// The chunks in which the change is written.
+    /// The chunks that the change is written in.
     chunks: Vec<String>,
 }
 
 impl Agent {
     fn new(change_at: Duration, reaction: impl Fn(Duration) -> Reaction + 'static) -> Agent {
         Agent {
-            started: Instant::now(),
+            started_at: Instant::now(),
             reaction: Box::new(reaction),
             change_at,
             silent_at: None,
@@ -61,7 +62,7 @@
         Rc::new(move |_| {
             let agent = self.clone();
             Box::pin(async move {
-                let reaction = (agent.reaction)(agent.started.elapsed());
+                let reaction = (agent.reaction)(agent.started_at.elapsed());
                 if reaction == Reaction::RefuseConnection {
                     return Err(io::Error::from(io::ErrorKind::ConnectionRefused));
                 }
@@ -75,7 +76,7 @@
     }
 
     async fn serve(&self, mut stream: DuplexStream, reaction: Reaction) -> io::Result<()> {
-        let opened_at = self.started.elapsed();
+        let opened_at = self.started_at.elapsed();
         let mut request = Vec::new();
         while !request.ends_with(b"\r\n\r\n") {
             request.push(stream.read_u8().await?);
@@ -94,30 +95,30 @@
     async fn serve_watch(&self, mut stream: DuplexStream, opened_at: Duration) -> io::Result<()> {
         let mut change_sent = false;
         loop {
-            if self.silent_at.is_some_and(|at| opened_at < at && self.started.elapsed() >= at) {
+            if self.silent_at.is_some_and(|at| opened_at < at && self.started_at.elapsed() >= at) {
                 return std::future::pending().await;
             }
-            let change_due = !change_sent && self.started.elapsed() >= self.change_at;
+            let change_due = !change_sent && self.started_at.elapsed() >= self.change_at;
             let chunks = if change_due { self.chunks.clone() } else { vec!["\n".to_owned()] };
             change_sent |= change_due;
             for chunk in chunks {
                 stream.write_all(format!("{:x}\r\n{chunk}\r\n", chunk.len()).as_bytes()).await?;
                 sleep(Duration::from_millis(1)).await;
             }
-            let heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
-            let change = self.started + self.change_at;
-            let change_is_next = !change_sent && change > Instant::now();
-            sleep_until(if change_is_next { heartbeat.min(change) } else { heartbeat }).await;
+            let heartbeat_at = Instant::now() + HEARTBEAT_INTERVAL;
+            let change_instant = self.started_at + self.change_at;
+            let change_is_next = !change_sent && change_instant > Instant::now();
+            sleep_until(if change_is_next { heartbeat_at.min(change_instant) } else { heartbeat_at }).await;
         }
     }
 }
 
-/// What the driver receives from a watcher.
+/// The inputs that the driver receives from a watcher.
 struct DriverInputs(mpsc::UnboundedReceiver<DriverInput>);
 
 impl DriverInputs {
-    /// Starts a watcher of this agent.
-    fn of_watcher(agent: &Rc<Agent>, settings: &Settings, seed: u64) -> DriverInputs {
+    /// Starts a watcher of `agent` and returns its driver inputs.
+    fn from_watcher(agent: &Rc<Agent>, settings: &Settings, seed: u64) -> DriverInputs {
         let (driver, inputs) = DriverHandle::channel(Clock::start());
         let watcher = EndpointWatcher {
             directory: Rc::new(Directory::default()),
@@ -130,7 +131,7 @@
         };
         let (address_sender, address) = watch::channel("127.0.0.1:1".parse().ok());
         tokio::task::spawn_local(async move {
-            // The watcher ends once the sender is dropped.
+            // Keeps the sender alive, since the watcher stops when it is dropped.
             let _address_sender = address_sender;
             watcher.run(address).await;
         });
@@ -138,7 +139,7 @@
     }
 
     /// Waits until the driver is notified of the change.
-    async fn change(&mut self) {
+    async fn wait_for_change(&mut self) {
         let has_change = |input: &DriverInput| match input {
             DriverInput::EndpointsUpdated { endpoints, .. } => {
                 endpoints.iter().any(|endpoint| *endpoint.worker.0 == *"answer-9")
@@ -153,30 +154,33 @@
     Settings { watch_required, replica_count: 300, ..Settings::default() }
 }
 
-/// How long after the agent had the change the driver was notified of it.
+/// The time from the change at the agent to the notification of the driver.
 async fn notification_delay(agent: Agent, watch_required: bool, seed: u64) -> Duration {
-    let (change_at, agent) = (agent.started + agent.change_at, Rc::new(agent));
+    let (change_at, agent) = (agent.started_at + agent.change_at, Rc::new(agent));
     let notified = async {
-        let mut inputs = DriverInputs::of_watcher(&agent, &settings(watch_required), seed);
-        timeout(Duration::from_secs(600), inputs.change()).await.expect("the driver was never notified");
+        let mut inputs = DriverInputs::from_watcher(&agent, &settings(watch_required), seed);
+        timeout(Duration::from_secs(600), inputs.wait_for_change())
+            .await
+            .expect("the driver was never notified");
         Instant::now().saturating_duration_since(change_at)
     };
     tokio::task::LocalSet::new().run_until(notified).await
 }
 
-/// Guards against a dead watch that is noticed too late for the changes that it misses.
+/// Guards against a dead watch that is detected too late to deliver the change that it missed.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn change_missed_by_a_silent_watch_arrives_in_time(#[values(false, true)] watch_required: bool) {
+async fn change_missed_by_a_dead_watch_arrives_in_time(#[values(false, true)] watch_required: bool) {
     for seed in 0..20 {
         let silent_at = Duration::from_millis(7_000 + 97 * seed);
-        let agent = Agent { silent_at: Some(silent_at), ..Agent::new(silent_at, |_| RESPOND_AT_ONCE) };
+        let agent = Agent { silent_at: Some(silent_at), ..Agent::new(silent_at, |_| RESPOND_IMMEDIATELY) };
         let delay = notification_delay(agent, watch_required, seed).await;
         assert!(delay <= UPDATE_DEADLINE, "{delay:?}, seed {seed}");
     }
 }
 
-/// Guards against backoff that grows past the deadline of an update, and against a call left hanging in an outage.
+/// Guards against backoff that exceeds the deadline of an update, and against a call that hangs during an
+/// outage.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn change_during_an_outage_arrives_in_time(
@@ -186,54 +190,54 @@
 ) {
     for seed in 0..10 {
         let outage_end = Duration::from_millis(seconds * 1_000 + 131 * seed);
-        let reaction = move |at| if at < outage_end { outage } else { RESPOND_AT_ONCE };
+        let reaction = move |at| if at < outage_end { outage } else { RESPOND_IMMEDIATELY };
         let delay = notification_delay(Agent::new(outage_end, reaction), watch_required, seed).await;
         assert!(delay <= UPDATE_DEADLINE, "{delay:?}, seed {seed}");
     }
 }
 
-/// Guards against backoff at the moment at which a silent agent responds again: a router counts as notified at once of
-/// what the agent has then, and has a quarter of a second to stop sending to workers that drain.
+/// Guards against a backoff delay when an unresponsive agent recovers: the router is considered notified as
+/// soon as the agent has a change, and has 250 ms to stop sending requests to draining workers.
 #[tokio::test(start_paused = true)]
-async fn change_at_the_agents_return_arrives_at_once() {
-    let (silent_at, return_at) = (Duration::from_secs(2), Duration::from_secs(8));
+async fn change_at_the_recovery_of_an_agent_arrives_at_once() {
+    let (silent_at, recovery_at) = (Duration::from_secs(2), Duration::from_secs(8));
     for seed in 0..100 {
-        // Calls that are waiting are answered when the agent returns.
+        // Pending calls are answered when the agent recovers.
         let reaction = move |at: Duration| match at < silent_at {
-            true => RESPOND_AT_ONCE,
-            false => Reaction::RespondAfter(return_at.saturating_sub(at)),
+            true => RESPOND_IMMEDIATELY,
+            false => Reaction::RespondAfter(recovery_at.saturating_sub(at)),
         };
-        let agent = Agent { silent_at: Some(silent_at), ..Agent::new(return_at, reaction) };
+        let agent = Agent { silent_at: Some(silent_at), ..Agent::new(recovery_at, reaction) };
         let delay = notification_delay(agent, false, seed).await;
         assert!(delay <= Duration::from_millis(250), "{delay:?}, seed {seed}");
     }
 }
 
-/// Guards against calls that are given up while they are queued at a discovery service that all routers share.
+/// Guards against calls that time out while they are queued at a shared discovery service.
 #[tokio::test(start_paused = true)]
-async fn queued_call_is_waited_for() {
+async fn queued_call_does_not_time_out() {
     let time_in_queue = Duration::from_secs(2);
     let agent = Agent::new(Duration::ZERO, move |_| Reaction::RespondAfter(time_in_queue));
     assert!(notification_delay(agent, true, 1).await <= UPDATE_DEADLINE);
 }
 
-/// Guards against a change that is lost because of how it is written.
+/// Guards against a change that is lost because of its formatting or chunking.
 #[rstest]
 #[case::over_several_lines(&["{\n  \"seq\": 2,\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"answer-9\",\n      \"class\": \"answer\",\n      \"health\": \"ready\"\n    }\n  ]\n}\n"])]
 #[case::byte_by_byte(&[])]
 #[case::after_a_malformed_line(&["what\n", CHANGE])]
 #[tokio::test(start_paused = true)]
-async fn change_is_parsed_however_it_is_written(#[case] chunks: &[&str]) {
+async fn change_is_parsed_in_any_formatting_and_chunking(#[case] chunks: &[&str]) {
     let single_bytes = || CHANGE.chars().map(String::from).collect();
     let chunks =
         if chunks.is_empty() { single_bytes() } else { chunks.iter().map(|c| (*c).to_owned()).collect() };
-    let agent = Agent { chunks, ..Agent::new(Duration::from_secs(1), |_| RESPOND_AT_ONCE) };
+    let agent = Agent { chunks, ..Agent::new(Duration::from_secs(1), |_| RESPOND_IMMEDIATELY) };
     assert!(notification_delay(agent, false, 1).await <= Duration::from_secs(1));
 }
 
-/// Guards against routers that keep a shared discovery service busy with the calls that it has just failed.
+/// Guards against routers that overload a shared discovery service with simultaneous retries of failed calls.
 #[test]
-fn routers_that_fail_together_spread_their_next_calls() {
+fn routers_that_fail_together_spread_their_retries() {
     let settings = |watch_required| Settings { replica_count: 100, watch_required, ..Settings::default() };
     let [answered, call_timed_out, watch_idle] = [0, 2_250, 3_000].map(Duration::from_millis);
     let upper_bounds = [
@@ -253,15 +257,15 @@
         let is_spread = histogram.iter().all(|calls| (2..=20).contains(calls));
         assert!(is_spread, "after {failures} failures: {histogram:?}");
     }
-    // A local agent, which serves one router, is called again soon.
-    let is_soon =
+    // The agent on the same machine serves one router only, so it is called again soon.
+    let retries_soon =
         |router| Backoff::new(&settings(false), router).delay(40, answered) < Duration::from_secs(1);
-    assert!((0..100).all(is_soon));
+    assert!((0..100).all(retries_soon));
 }
 
-/// Guards against a directory that grows with every machine that is replaced under a new id.
+/// Guards against a directory that grows with each machine that is replaced under a new id.
 #[test]
-fn gone_workers_are_forgotten() {
+fn gone_workers_are_removed() {
     let directory = Directory::default();
     let update = |complete: bool, worker: String, status: &str| {
         let text = format!(
