--- a/src/import/haproxy/mod.rs
+++ b/src/import/haproxy/mod.rs
@@ -51,11 +51,11 @@
         read_line(&mut document, number, line).map_err(|kind| kind.at(number))?;
     }
     let end_line = text.lines().count() + 1;
-    let (routes, unreachable) = Routes::find(&document, end_line)?;
+    let (routes, route_omissions) = Routes::find(&document, end_line)?;
     let content =
         operator_file::write(&routes, document.max_connections()).map_err(|kind| kind.at(end_line))?;
     let mut omissions = document.into_omissions();
-    omissions.extend(unreachable);
+    omissions.extend(route_omissions);
     omissions.sort();
     let file = header_comment(&omissions) + "\n" + &content;
     Ok(Import { file, omissions })
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -41,7 +41,7 @@
     /// The delay is random below an upper bound that doubles, so that routers that fail at the same time do
     /// not retry at the same time. `unresponsive_for` is the time that the last call or watch waited without
     /// a response. Discovery may have recovered soon after this wait began, so the wait, the delay and the
-    /// next call together fit into [`UPDATE_DEADLINE`]. A local agent that timed out is called again without
+    /// next call together fit into `UPDATE_DEADLINE`. A local agent that timed out is called again without
     /// delay, since it responds to a pending call as soon as it recovers.
     pub fn delay(&self, failures: u32, unresponsive_for: Duration) -> Duration {
         let upper_bound = match (self.mode, unresponsive_for) {
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -33,6 +33,7 @@
 pub struct Directory {
     /// The listed workers except those that are gone.
     workers: RefCell<HashMap<WorkerId, ListedWorker>>,
+    /// The sequence number of the last applied update.
     sequence: Cell<u64>,
     withdrawn: RefCell<WithdrawnWorkers>,
 }
--- a/src/net/discovery/withdrawn.rs
+++ b/src/net/discovery/withdrawn.rs
@@ -36,7 +36,7 @@
         self.workers.insert(worker.clone(), WithdrawnWorker { started_at, withdrawal_number });
     }
 
-    /// Evicts the oldest entries until at most `listed_count` remain, or [`MIN_CAPACITY`] if that is more.
+    /// Evicts the oldest entries until at most `listed_count` remain, or `MIN_CAPACITY` if that is more.
     pub fn evict_oldest(&mut self, listed_count: usize) {
         while self.order.len() > listed_count.max(MIN_CAPACITY) {
             if let Some((_, worker)) = self.order.pop_first() {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -203,7 +203,7 @@
 /// Guards against a backoff delay when an unresponsive agent recovers: the router is considered notified as
 /// soon as the agent has a change, and has 250 ms to stop sending requests to draining workers.
 #[tokio::test(start_paused = true)]
-async fn change_at_the_recovery_of_an_agent_arrives_at_once() {
+async fn change_at_the_recovery_of_an_agent_arrives_immediately() {
     let (silent_at, recovery_at) = (Duration::from_secs(2), Duration::from_secs(8));
     for seed in 0..100 {
         // Pending calls are answered when the agent recovers.
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -294,7 +294,7 @@
 /// responses of the old agent that are applied after the change.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn new_agent_is_called_at_once(
+async fn new_agent_is_called_immediately(
     #[values(WatcherState::Connect, WatcherState::Call, WatcherState::Watch, WatcherState::Backoff)]
     state: WatcherState,
 ) {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -47,7 +47,7 @@
     assert_eq!(old_requests.try_iter().filter(|line| line.starts_with("POST")).count(), 0);
 }
 
-/// Guards against a watch that is closed because the policy requests one: a shared discovery service would
+/// Guards against a watch that is closed because the policy requests another: a shared discovery service would
 /// still process the abandoned call.
 #[test]
 fn shared_discovery_is_called_once() {
@@ -127,7 +127,7 @@
     drop(locked_gate);
     assert!(Message::read(&mut BufReader::new(client)).unwrap().whole);
     let counters = router.stop();
-    assert_eq!(["reloads", "reloads_failed", "requests_received"].map(|c| counters.get(c)), [1, 1, 2]);
+    assert_eq!(["reloads", "reloads_failed", "requests_received"].map(|name| counters.get(name)), [1, 1, 2]);
 }
 
 /// Idle clients that reconnect as soon as their connection is closed, and so use each file descriptor that
