--- /dev/null
+++ b/src/net/discovery/connector.rs
@@ -0,0 +1,28 @@
+//! Connectors that open the byte streams to discovery.
+
+use super::mode::LOCAL_CALL_TIMEOUT;
+use crate::net::Local;
+use crate::net::socket::{Socket, connect};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::time::Instant;
+
+/// A bidirectional byte stream to discovery.
+pub trait DiscoveryStream: AsyncRead + AsyncWrite + Unpin {}
+
+impl<T: AsyncRead + AsyncWrite + Unpin> DiscoveryStream for T {}
+
+/// Opens a connection to discovery at an address. Dropping the future cancels the attempt.
+pub type Connector = Rc<dyn Fn(SocketAddr) -> Local<io::Result<Box<dyn DiscoveryStream>>>>;
+
+/// Returns a connector that uses TCP.
+pub fn tcp_connector() -> Connector {
+    Rc::new(|address| {
+        Box::pin(async move {
+            let stream = connect(address, Instant::now() + LOCAL_CALL_TIMEOUT).await?;
+            Ok(Box::new(Socket::new(Rc::new(stream))) as Box<dyn DiscoveryStream>)
+        })
+    })
+}
