--- a/src/frontend/jsonrpc/params.rs
+++ b/src/frontend/jsonrpc/params.rs
@@ -2,7 +2,7 @@
 
 use super::error::RpcError;
 use super::protocol::encode;
-use crate::net::is_plain_id;
+use crate::net::is_valid_id;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::ops::RangeInclusive;
@@ -64,7 +64,7 @@
     /// Whether the values are within their bounds.
     fn is_valid(&self) -> bool {
         let fits = |key: &Option<String>| key.as_ref().is_none_or(|key| key.len() <= MAX_KEY_BYTES);
-        is_plain_id(&self.name)
+        is_valid_id(&self.name)
             && DEADLINE_MS.contains(&self.deadline_ms)
             && self.messages.get().starts_with('[')
             && fits(&self.session)
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::frontend::response_body::{ResponseBody, plain_text};
 use crate::interface::{Micros, RequestId, RequestSpec};
-use crate::net::is_plain_id;
+use crate::net::is_valid_id;
 use crate::runtime::exchange::{DisconnectGuard, FinalResponse};
 use hyper::header::{self, HeaderName};
 use hyper::{HeaderMap, Response, StatusCode};
@@ -121,7 +121,7 @@
 /// A header is missing or malformed.
 pub fn decode(headers: &HeaderMap, sent_at: Micros) -> Result<ParsedRequest, InvalidHeader> {
     let id = PlatformHeader::RequestId.required_value(headers)?;
-    if !is_plain_id(id) || headers.get_all(PlatformHeader::RequestId.name()).iter().count() > 1 {
+    if !is_valid_id(id) || headers.get_all(PlatformHeader::RequestId.name()).iter().count() > 1 {
         return Err(InvalidHeader::Malformed(PlatformHeader::RequestId));
     }
     let class = PlatformHeader::Class.required_value(headers)?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -15,7 +15,8 @@
 /// A boxed future that stays on the thread that made it.
 pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Whether a request id may stand in a path and in a header without escaping.
-pub fn is_plain_id(id: &str) -> bool {
+/// Whether a client-supplied id is valid: 1 to 64 ASCII letters, digits and `-_.`, so that it needs no escaping in a
+/// path or a header.
+pub fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
--- a/src/net/server/request_label.rs
+++ b/src/net/server/request_label.rs
@@ -1,6 +1,6 @@
 //! How log lines of the server name a request.
 
-use crate::net::is_plain_id;
+use crate::net::is_valid_id;
 use hyper::Request;
 use hyper::header::HeaderValue;
 use std::fmt;
@@ -23,7 +23,7 @@
 impl fmt::Display for RequestLabel {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let id = self.0.as_ref().and_then(|value| value.to_str().ok()).map(str::trim);
-        match id.filter(|id| is_plain_id(id)) {
+        match id.filter(|id| is_valid_id(id)) {
             Some(id) => write!(f, "request {id}"),
             None => f.write_str("request"),
         }
--- a/src/net/upstream/slot.rs
+++ b/src/net/upstream/slot.rs
@@ -1,7 +1,7 @@
 //! Reservations of slots at decode workers.
 
 use crate::interface::{RequestId, WorkerId};
-use crate::net::is_plain_id;
+use crate::net::is_valid_id;
 use crate::net::upstream::call::{UnaryCall, UnaryResponse};
 use crate::net::upstream::client::UpstreamClient;
 use crate::runtime::DriverInput;
@@ -22,7 +22,7 @@
     forwarded: &ForwardedRequest,
     worker: WorkerId,
 ) {
-    debug_assert!(is_plain_id(&forwarded.id));
+    debug_assert!(is_valid_id(&forwarded.id));
     // A draining worker gets no new reservations, just as it gets no new requests.
     if !client.directory.is_ready(&worker) {
         return;
