--- a/src/frontend/jsonrpc/output.rs
+++ b/src/frontend/jsonrpc/output.rs
@@ -2,7 +2,7 @@
 
 use super::protocol::Notification;
 use super::relay_error::RelayError;
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::server::client_socket::ClientSocket;
 use crate::rules::close::CLIENT_WRITE_TIMEOUT;
 use crate::runtime::exchange::Frame;
@@ -87,7 +87,7 @@
     }
 
     /// Resolves when the client is gone. The future keeps nothing of `self` borrowed.
-    pub fn disconnected(&self) -> Local<()> {
+    pub fn disconnected(&self) -> LocalBoxFuture<()> {
         match self {
             AnswerOutput::Streamed(body) => {
                 let body = body.clone();
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -6,7 +6,7 @@
 use crate::frontend::platform::{self, ParsedRequest};
 use crate::frontend::request_body::{RequestBody, read_body};
 use crate::frontend::response_body::{ResponseBody, plain_text};
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::framing::HeadFraming;
 use crate::net::server::handler::RequestHandler;
@@ -172,7 +172,7 @@
 impl Service<ReceivedRequest> for RequestService {
     type Response = Response<ResponseBody>;
     type Error = Infallible;
-    type Future = Local<Result<Self::Response, Infallible>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
--- a/src/net/discovery/dial.rs
+++ b/src/net/discovery/dial.rs
@@ -1,7 +1,7 @@
 //! Connecting to discovery.
 
 use super::mode::CALL_TIMEOUT;
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::socket::{Socket, connect};
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> DiscoveryStream for T {}
 
 /// Connects to discovery at an address. Dropping the future gives the connection up.
-pub type Dial = Rc<dyn Fn(SocketAddr) -> Local<io::Result<Box<dyn DiscoveryStream>>>>;
+pub type Dial = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<io::Result<Box<dyn DiscoveryStream>>>>;
 
 /// Connects over TCP.
 pub fn dial_tcp() -> Dial {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,8 +12,8 @@
 
 use std::pin::Pin;
 
-/// A boxed future that stays on the thread that made it.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+/// A boxed future that is not `Send`.
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Whether a client-supplied id is valid: 1 to 64 ASCII letters, digits and `-_.`, so that it needs no escaping in a
 /// path or a header.
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -1,6 +1,6 @@
 //! Passes the requests of one connection to the request handler, and decides which response is the connection's last.
 
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::handler::{HandlerBody, RequestHandler};
 use crate::net::server::received_request::ReceivedRequest;
@@ -85,7 +85,7 @@
 impl<H: RequestHandler> hyper::service::Service<Request<Incoming>> for ConnectionHandler<H> {
     type Response = Response<TrackedBody<H::Body>>;
     type Error = Infallible;
-    type Future = Local<Result<Self::Response, Infallible>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Infallible>>;
 
     fn call(&self, request: Request<Incoming>) -> Self::Future {
         let handler = self.clone();
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -1,7 +1,7 @@
 //! Single calls to workers beside the attempts: a small request, and a response that is read completely.
 
 use crate::interface::WorkerId;
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::upstream::client::UpstreamClient;
 use crate::net::upstream::pool::ConnectError;
 use bytes::Bytes;
@@ -129,7 +129,7 @@
 impl Service<UnaryCall> for UpstreamClient {
     type Response = UnaryResponse;
     type Error = CallError;
-    type Future = Local<Result<Self::Response, Self::Error>>;
+    type Future = LocalBoxFuture<Result<Self::Response, Self::Error>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -5,7 +5,7 @@
 //! decide.
 
 use crate::interface::WorkerId;
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::socket::connect;
 use crate::runtime::counters::Counters;
 use std::cell::{Cell, RefCell};
@@ -205,7 +205,7 @@
 impl tower::Service<Target> for Pool {
     type Response = Connection;
     type Error = ConnectError;
-    type Future = Local<Result<Connection, ConnectError>>;
+    type Future = LocalBoxFuture<Result<Connection, ConnectError>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), ConnectError>> {
         Poll::Ready(Ok(()))
