--- a/src/net/server/socket_probe.rs
+++ b/src/net/server/socket_probe.rs
@@ -1,6 +1,6 @@
 //! What the operating system knows of a client's socket at this moment, without reading from it.
 
-use crate::net::socket::uninterrupted;
+use crate::net::socket::retry_on_interrupt;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use rustix::net::{RecvFlags, recv};
 use std::os::fd::AsFd;
@@ -12,14 +12,14 @@
     const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
     let mut fds = [PollFd::new(stream, PollFlags::RDHUP)];
     // An error of the call itself says nothing about the other side.
-    let _ = uninterrupted(|| Ok(poll(&mut fds, Some(&NO_WAIT))?));
+    let _ = retry_on_interrupt(|| Ok(poll(&mut fds, Some(&NO_WAIT))?));
     fds[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
 
 /// Copies received bytes into `bytes` and leaves them unread; returns how many there were.
 pub fn peek(stream: &TcpStream, bytes: &mut [u8]) -> usize {
     let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
-    let received = uninterrupted(|| Ok(recv(stream.as_fd(), &mut *bytes, flags)?));
+    let received = retry_on_interrupt(|| Ok(recv(stream.as_fd(), &mut *bytes, flags)?));
     received.map_or(0, |(received, _)| received)
 }
 
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// Any other error of the call.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if transfer_failure(&error) == TransferFailure::Interrupted => {}
--- a/src/net/upstream/write_progress.rs
+++ b/src/net/upstream/write_progress.rs
@@ -4,7 +4,7 @@
 //! doesn't tell.
 
 use crate::interface::Outcome;
-use crate::net::socket::{Socket, WriteMonitor, uninterrupted};
+use crate::net::socket::{Socket, WriteMonitor, retry_on_interrupt};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -104,7 +104,7 @@
 /// Whether neither bytes nor the end of the connection wait to be read, as the kernel knows it at this
 /// moment.
 pub(super) fn is_quiet(stream: &TcpStream) -> bool {
-    let peeked = uninterrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
+    let peeked = retry_on_interrupt(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
