--- a/src/net/failure.rs
+++ b/src/net/failure.rs
@@ -18,7 +18,7 @@
 }
 
 /// Classifies the error of a failed accept(2).
-pub fn accept_failure(error: &io::Error) -> AcceptFailure {
+pub fn classify_accept_error(error: &io::Error) -> AcceptFailure {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE) => AcceptFailure::OwnDescriptors,
         Some(Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::Machine,
@@ -40,7 +40,7 @@
 }
 
 /// Classifies the error of a failed socket(2) or connect(2).
-pub fn connect_failure(error: &io::Error) -> ConnectFailure {
+pub fn classify_connect_error(error: &io::Error) -> ConnectFailure {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => ConnectFailure::Interrupted,
         Some(
@@ -72,7 +72,7 @@
 }
 
 /// Classifies the error of a failed recv(2) or send(2).
-pub fn transfer_failure(error: &io::Error) -> TransferFailure {
+pub fn classify_transfer_error(error: &io::Error) -> TransferFailure {
     match Errno::from_io_error(error) {
         Some(Errno::INTR) => TransferFailure::Interrupted,
         Some(Errno::NOBUFS | Errno::NOMEM) => TransferFailure::Machine,
--- a/src/net/failure/tests.rs
+++ b/src/net/failure/tests.rs
@@ -18,7 +18,7 @@
 #[case::buffers(Errno::NOBUFS, AcceptFailure::Machine)]
 #[case::memory(Errno::NOMEM, AcceptFailure::Machine)]
 fn accept_errors_are_classified(#[case] errno: Errno, #[case] expected: AcceptFailure) {
-    assert_eq!(accept_failure(&error(errno)), expected);
+    assert_eq!(classify_accept_error(&error(errno)), expected);
 }
 
 #[rstest]
@@ -32,7 +32,7 @@
 #[case::timed_out(Errno::TIMEDOUT, ConnectFailure::OtherSide)]
 #[case::host_unreachable(Errno::HOSTUNREACH, ConnectFailure::OtherSide)]
 fn connect_errors_are_classified(#[case] errno: Errno, #[case] expected: ConnectFailure) {
-    assert_eq!(connect_failure(&error(errno)), expected);
+    assert_eq!(classify_connect_error(&error(errno)), expected);
 }
 
 #[rstest]
@@ -45,5 +45,5 @@
 #[case::timed_out(Errno::TIMEDOUT, TransferFailure::Connection)]
 #[case::host_unreachable(Errno::HOSTUNREACH, TransferFailure::Connection)]
 fn transfer_errors_are_classified(#[case] errno: Errno, #[case] expected: TransferFailure) {
-    assert_eq!(transfer_failure(&error(errno)), expected);
+    assert_eq!(classify_transfer_error(&error(errno)), expected);
 }
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections within a limit.
 
-use crate::net::failure::{AcceptFailure, accept_failure};
+use crate::net::failure::{AcceptFailure, classify_accept_error};
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::connection::serve;
 use crate::net::server::connection_handler::{ConnectionHandler, LimitedHandler};
@@ -110,7 +110,7 @@
     /// Makes the next accept possible, as far as this process can.
     async fn handle_accept_error(&self, error: &io::Error, failures: &mut ConsecutiveFailures) {
         self.counters.accept_errors.increment();
-        let failure = accept_failure(error);
+        let failure = classify_accept_error(error);
         if failures.is_empty() {
             log::warn!("accept: {error} ({failure:?})");
         }
--- a/src/net/server/gated_socket.rs
+++ b/src/net/server/gated_socket.rs
@@ -1,6 +1,6 @@
 //! A client's socket as hyper sees it: reading stops behind each request until it has been answered.
 
-use crate::net::failure::{TransferFailure, transfer_failure};
+use crate::net::failure::{TransferFailure, classify_transfer_error};
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::socket::Socket;
 use std::io::{self, IoSlice};
@@ -37,7 +37,7 @@
         let mut bytes = [0; PEEK_BYTES];
         let mut received = ReadBuf::new(&mut bytes[..wanted.min(PEEK_BYTES)]);
         while let Err(error) = ready!(self.client.stream().poll_peek(cx, &mut received)) {
-            if transfer_failure(&error) != TransferFailure::Interrupted {
+            if classify_transfer_error(&error) != TransferFailure::Interrupted {
                 return Poll::Ready(Err(error));
             }
         }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -4,7 +4,7 @@
 //! an interrupted call is repeated, a call that failed for lack of memory is repeated after a pause, and a
 //! short read is not taken as a sign that nothing more has arrived.
 
-use super::failure::{ConnectFailure, TransferFailure, connect_failure, transfer_failure};
+use super::failure::{ConnectFailure, TransferFailure, classify_connect_error, classify_transfer_error};
 use bytes::BufMut;
 use socket2::SockRef;
 use std::io::{self, IoSlice};
@@ -31,7 +31,7 @@
 pub fn retry_on_interrupt<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
-            Err(error) if transfer_failure(&error) == TransferFailure::Interrupted => {}
+            Err(error) if classify_transfer_error(&error) == TransferFailure::Interrupted => {}
             result => return result,
         }
     }
@@ -79,7 +79,7 @@
             Ok(value) => return Ok(value),
             Err(error) => error,
         };
-        match connect_failure(&error) {
+        match classify_connect_error(&error) {
             ConnectFailure::OtherSide => return Err(error),
             ConnectFailure::Interrupted => {}
             ConnectFailure::Machine if Instant::now() + pause >= deadline => return Err(error),
@@ -160,7 +160,7 @@
                 }
                 Err(error) => error,
             };
-            match transfer_failure(&error) {
+            match classify_transfer_error(&error) {
                 TransferFailure::Interrupted | TransferFailure::NotReady => {}
                 TransferFailure::Machine if self.shortage.duration() < LOCAL_SHORTAGE_TIMEOUT => {
                     self.shortage.begin_pause();
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/1.1 connection to a worker, which carries one request at a time.
 
 use crate::interface::WorkerId;
-use crate::net::failure::{ConnectFailure, connect_failure};
+use crate::net::failure::{ConnectFailure, classify_connect_error};
 use crate::net::upstream::write_progress::{MonitoredStream, WriteGuard, WriteProgress, is_quiet};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -45,7 +45,7 @@
 
 impl From<io::Error> for ConnectError {
     fn from(error: io::Error) -> Self {
-        match connect_failure(&error) {
+        match classify_connect_error(&error) {
             ConnectFailure::Machine => ConnectError::LocalFailure(error),
             ConnectFailure::Interrupted | ConnectFailure::OtherSide => ConnectError::PeerFailure(error),
         }
