--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -125,13 +125,13 @@
 impl Socket {
     /// An owner of this stream whose writes are not observed.
     pub fn new(stream: Rc<TcpStream>) -> Self {
-        Socket::monitored(stream, Unmonitored)
+        Socket::with_monitor(stream, Unmonitored)
     }
 }
 
 impl<M> Socket<M> {
     /// An owner of this stream whose writes pass through `monitor`.
-    pub fn monitored(stream: Rc<TcpStream>, monitor: M) -> Self {
+    pub fn with_monitor(stream: Rc<TcpStream>, monitor: M) -> Self {
         Socket { stream, monitor, shortage: LocalShortage::default() }
     }
 
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -96,7 +96,7 @@
     ) -> Result<Connection, ConnectError> {
         stream.set_nodelay(true)?;
         let (stream, progress) = (Rc::new(stream), Rc::new(WriteProgress::default()));
-        let io = TokioIo::new(MonitoredStream::monitored(stream.clone(), progress.clone()));
+        let io = TokioIo::new(MonitoredStream::with_monitor(stream.clone(), progress.clone()));
         let mut builder = http1::Builder::new();
         // A header that can't be read (a load report, say) is no reason to lose a good response.
         builder.max_buf_size(READ_BUFFER_BYTES).ignore_invalid_headers_in_responses(true);
