--- a/src/net/server/shutdown_phase.rs
+++ b/src/net/server/shutdown_phase.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
     /// Connections are accepted and requests are served.
-    Open,
+    Serving,
     /// Idle connections are closed, every other connection closes after the response in progress, and requests that
     /// still arrive are rejected.
     Closing,
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -190,7 +190,7 @@
         handler: RequestService,
         is_stopping: Rc<Cell<bool>>,
     ) -> GracefulShutdown {
-        let (phase, phases) = watch::channel(ShutdownPhase::Open);
+        let (phase, phases) = watch::channel(ShutdownPhase::Serving);
         let connections = Rc::new(Connections::default());
         let active_ids = handler.context.active_ids.clone();
         let max_connections = sockets.clients - RESERVED_CONNECTIONS;
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -62,7 +62,7 @@
             body_memory: MemoryBudget::new(options.body_memory),
             active_ids: Rc::default(),
         };
-        let (shutdown, phases) = watch::channel(ShutdownPhase::Open);
+        let (shutdown, phases) = watch::channel(ShutdownPhase::Serving);
         let connections = Rc::new(Connections::default());
         let listener = Listener {
             handler: RequestService { context: Rc::new(context), jsonrpc: None },
