--- a/src/net/server/accept/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is private to `accept`.
+//! Unit tests of accepting connections after failed accepts.
 
 use super::*;
 use crate::net::server::handler::HandlerBody;
@@ -14,7 +14,7 @@
 use tokio::task::LocalSet;
 use tower::Service;
 
-/// A handler whose responses are empty.
+/// A handler that answers every request with an empty response.
 #[derive(Clone)]
 struct EmptyResponses;
 
@@ -62,26 +62,27 @@
     io::Error::from_raw_os_error(errno.raw_os_error())
 }
 
-/// The results of accepting from a queue of connections, each of them preceded by `failures`.
-async fn results_after(failures: &[Errno], connections: usize) -> VecDeque<io::Result<TcpStream>> {
-    let queue = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = queue.local_addr().unwrap();
+/// The results of consecutive accepts of this many connections, each preceded by `failures`.
+async fn accept_results(failures: &[Errno], connections: usize) -> VecDeque<io::Result<TcpStream>> {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
     let mut results = VecDeque::new();
     for _ in 0..connections {
         results.extend(failures.iter().map(|errno| Err(error(*errno))));
         let _client = std::net::TcpStream::connect(address).unwrap();
-        results.push_back(Ok(queue.accept().await.unwrap().0));
+        results.push_back(Ok(listener.accept().await.unwrap().0));
     }
     results
 }
 
-/// Guards against new clients that waited for seconds: each failed accept, whatever its cause, once took 5 ms.
+/// Guards against clients that wait seconds for their accept: a pause of 5 ms after each failed accept,
+/// whatever its cause, adds up while connections wait in the listen backlog.
 #[rstest]
-#[case::machine_short_of_descriptors(&[Errno::NFILE], Duration::ZERO)]
-#[case::connections_gone(&[Errno::CONNABORTED, Errno::INTR], Duration::ZERO)]
-#[case::lasting(&[Errno::NFILE; 20], 10 * ACCEPT_FAILED_PAUSE)]
+#[case::system_file_table_full(&[Errno::NFILE], Duration::ZERO)]
+#[case::connections_aborted(&[Errno::CONNABORTED, Errno::INTR], Duration::ZERO)]
+#[case::persistent(&[Errno::NFILE; 20], 10 * ACCEPT_FAILED_PAUSE)]
 #[tokio::test(start_paused = true)]
-async fn an_accept_failure_costs_time_only_when_it_lasts(
+async fn accepting_pauses_only_after_persistent_failures(
     #[case] failures: &[Errno],
     #[case] expected: Duration,
 ) {
@@ -89,10 +90,10 @@
         let listener = listener();
         let limited =
             ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.handler.clone());
-        let mut results = results_after(failures, 10).await;
+        let mut results = accept_results(failures, 10).await;
         let accept = || results.pop_front().unwrap_or_else(|| Err(io::ErrorKind::WouldBlock.into()));
         let started = tokio::time::Instant::now();
-        listener.drain(accept, &limited).await;
+        listener.accept_pending(accept, &limited).await;
         assert_eq!(listener.counters.client_connections.get(), 10);
         // The runtime's timers have a resolution of a millisecond.
         assert!(started.elapsed().abs_diff(expected) <= Duration::from_millis(10), "{:?}", started.elapsed());
@@ -100,7 +101,8 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against connections that are reset when the listener closes because an accept before them had failed.
+/// Guards against connections that are reset because a failed accept ended the draining of the listen backlog
+/// and the listener closed.
 #[tokio::test(start_paused = true)]
 async fn a_failed_accept_does_not_stop_draining_the_backlog() {
     let scenario = async {
@@ -109,9 +111,9 @@
             ServiceBuilder::new().load_shed().concurrency_limit(1).service(listener.handler.clone());
         let failures =
             [Errno::CONNABORTED, Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::MFILE, Errno::PROTO];
-        let mut results = results_after(&failures, 6).await;
+        let mut results = accept_results(&failures, 6).await;
         let accept = || results.pop_front().unwrap_or_else(|| Err(io::ErrorKind::WouldBlock.into()));
-        listener.drain(accept, &limited).await;
+        listener.accept_pending(accept, &limited).await;
         assert_eq!(listener.counters.client_connections.get(), 6);
     };
     LocalSet::new().run_until(scenario).await;
--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -1,9 +1,10 @@
-//! The state of a client connection: what has been read, what it is doing, and whether its client is still there.
+//! The state of a client connection: its phase, its request framing, and whether the client has disconnected.
 //!
-//! It is shared by hyper's input and output ([`GatedSocket`](super::gated_socket::GatedSocket)), the task that decides
-//! when the connection closes, the registry of connections and the request handler. All of them run on one thread.
+//! It is shared by hyper's I/O ([`GatedSocket`](super::gated_socket::GatedSocket)), the connection task,
+//! which decides when the connection closes, the registry of connections and the request handler. All of them
+//! run on one thread.
 
-use crate::net::server::framing::{Framing, HeadFraming};
+use crate::net::server::framing::{FramingParser, HeadFraming};
 use crate::net::server::read_gate::ReadGate;
 use crate::net::server::socket_probe;
 use crate::rules::close::{ConnectionPhase, ConnectionSnapshot, Eviction};
@@ -17,16 +18,16 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often a close behind unread bytes is polled for. Nothing may be forwarded for a client that disconnected 0.1 s
-/// ago; this is well within that.
+/// The interval of polling for a disconnect while unread bytes are pending. Well below 100 ms: no request may
+/// be forwarded for a client that disconnected that long ago.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Enough bytes to tell whether what follows a request may begin another: more than any method has.
-const METHOD_BYTES: usize = 32;
+/// The number of bytes after a request that are checked for the method of another one; no method is longer.
+const METHOD_PEEK_BYTES: usize = 32;
 
-/// A client's socket and what is known of it.
+/// A client's socket and the state of its connection.
 pub struct ClientSocket {
     number: u64,
-    accepted: Instant,
+    accepted_at: Instant,
     stream: Rc<TcpStream>,
     phase: Cell<ConnectionPhase>,
     gate: ReadGate,
@@ -37,44 +38,44 @@
     has_answered: Cell<bool>,
     pipelining: PipelineWait,
     changed: Notify,
-    framing: RefCell<Framing>,
+    framing: RefCell<FramingParser>,
 }
 
-/// Since when pipelined requests have waited for the one before them.
+/// When pipelined requests began to wait for the request before them.
 #[derive(Default)]
 struct PipelineWait {
-    /// When bytes of the next request were first seen behind the active one.
+    /// When bytes of the next request were first detected after the active one.
     next_since: Cell<Option<Instant>>,
-    /// The same for the request that was read last.
+    /// The same for the current request, which is the one read last.
     current_since: Cell<Option<Instant>>,
 }
 
 impl PipelineWait {
-    /// Bytes of the next request wait behind the active one.
+    /// Records that bytes of the next request wait behind the active one.
     fn record_next_request(&self) {
         if self.next_since.get().is_none() {
             self.next_since.set(Some(Instant::now()));
         }
     }
 
-    /// The next request is read, and becomes the current one.
+    /// Makes the next request the current one when its first bytes are read.
     fn begin_request(&self) {
         self.current_since.set(self.next_since.take());
     }
 
-    /// How long ago the current request was first seen waiting; zero if it did not wait.
+    /// The time since the current request was first detected while it waited; zero if it did not wait.
     fn elapsed(&self) -> Duration {
         self.current_since.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
 }
 
-/// What the connection is doing, for those who decide about it.
+/// The state of the connection.
 impl ClientSocket {
-    /// A connection that was accepted now. `number` identifies it in the log.
+    /// Wraps a newly accepted connection. `number` identifies it in the log.
     pub fn new(number: u64, stream: Rc<TcpStream>) -> Rc<Self> {
         Rc::new(ClientSocket {
             number,
-            accepted: Instant::now(),
+            accepted_at: Instant::now(),
             stream,
             phase: Cell::new(ConnectionPhase::Idle(Instant::now())),
             gate: ReadGate::new(),
@@ -88,7 +89,7 @@
         })
     }
 
-    /// The socket itself.
+    /// The TCP stream.
     pub fn stream(&self) -> &Rc<TcpStream> {
         &self.stream
     }
@@ -98,11 +99,11 @@
         self.number
     }
 
-    /// The state of the connection now, as the rules on closing it take it.
-    pub fn facts(&self, is_closing_phase: bool) -> ConnectionSnapshot {
+    /// The state of the connection, as input to [`close_deadline`](crate::rules::close::close_deadline).
+    pub fn snapshot(&self, is_closing_phase: bool) -> ConnectionSnapshot {
         ConnectionSnapshot {
             phase: self.phase.get(),
-            accepted_at: self.accepted,
+            accepted_at: self.accepted_at,
             has_answered: self.has_answered.get(),
             is_write_blocked: self.is_write_blocked.get(),
             eviction: self.eviction.get(),
@@ -110,43 +111,43 @@
         }
     }
 
-    /// What the connection is doing.
+    /// The phase of the connection.
     pub fn phase(&self) -> ConnectionPhase {
         self.phase.get()
     }
 
-    /// Whether bytes of a response wait that the client does not take.
+    /// Whether output is pending because the client does not read it.
     pub fn is_write_blocked(&self) -> bool {
         self.is_write_blocked.get()
     }
 
-    /// Whether the connection is to close because its slot is needed.
+    /// Whether the connection is evicted because its slot is needed.
     pub fn eviction(&self) -> Eviction {
         self.eviction.get()
     }
 
-    /// Resolves when the connection enters another phase or is evicted. Cancel-safe: a change that nobody waits for
-    /// resolves the next call.
+    /// Resolves when the connection enters another phase or is evicted. Cancel-safe: a change without a
+    /// waiter resolves the next call.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Whether bytes have been received that were not read.
+    /// Whether received bytes have not been read yet.
     pub fn has_unread_bytes(&self) -> bool {
         socket_probe::has_unread_bytes(&self.stream)
     }
 
-    /// Whether the connection can carry no further request: the last request's body was not read to its end, or its
-    /// framing could not be followed.
-    pub fn is_exhausted(&self) -> bool {
-        !self.framing.borrow().is_between_requests()
+    /// Whether reading has stopped within a request's body, so that the connection can carry no other
+    /// request. A request whose framing could not be parsed counts as a body without end.
+    pub fn is_within_body(&self) -> bool {
+        !self.framing.borrow().is_in_head()
     }
 }
 
-/// Whether the client is still there.
+/// Detection of client disconnects.
 impl ClientSocket {
-    /// Whether the client has closed the connection, or at least its sending side, as the system knows it at this
-    /// moment.
+    /// Whether the client has closed the connection, or at least its sending side. Queries the kernel, not
+    /// the readiness cached by the runtime.
     pub fn has_disconnected(&self) -> bool {
         socket_probe::is_closed_by_peer(&self.stream)
     }
@@ -159,61 +160,62 @@
                 return;
             }
             if !self.has_unread_bytes() {
-                // All that made the socket readable has been read. Reporting that nothing is left clears the runtime's
-                // readiness, so that the next round waits for a new event.
+                // All received bytes have been read. `WouldBlock` clears the runtime's cached readiness, so
+                // that the next iteration waits for a new event.
                 let _ = self.stream.try_io(Interest::READABLE, || Err::<(), _>(ErrorKind::WouldBlock.into()));
                 continue;
             }
             self.pipelining.record_next_request();
-            // Bytes that are left unread keep the socket readable: no event announces a close behind them.
+            // Unread bytes keep the socket readable, so no event reports a close that follows them.
             tokio::time::sleep(DISCONNECT_POLL_INTERVAL).await;
         }
     }
 
-    /// The connection as the upstream side of a request sees it.
+    /// A handle by which the upstream side of a request checks whether the client has disconnected.
     pub fn connection(self: &Rc<Self>) -> ClientConnection {
         let client = self.clone();
         ClientConnection::new(Rc::new(move || client.has_disconnected()))
     }
 
-    /// How long the active request had waited behind the one before it when it was read, and has since: its client's
-    /// deadline has run all that time.
+    /// The time since the active request was first detected while it waited for the request before it; zero
+    /// if it did not wait. The client's deadline includes this time.
     pub fn pipeline_wait(&self) -> Duration {
         self.pipelining.elapsed()
     }
 }
 
-/// The framing of requests as they are read.
+/// Request framing.
 impl ClientSocket {
-    /// The gate that hyper's reads pass.
+    /// The gate in front of hyper's reads.
     pub(super) fn gate(&self) -> &ReadGate {
         &self.gate
     }
 
-    /// Whether the next head that is passed to the request handler can be read in one way only.
+    /// The framing of the next head that is passed to the request handler.
     pub fn next_head_framing(&self) -> HeadFraming {
         self.framing.borrow_mut().next_head()
     }
 
-    /// Whether the bytes behind the active request cannot begin another one: its declared length was too short.
+    /// Whether the bytes after the active request cannot begin another one: the declared length of its body
+    /// was too short.
     pub fn has_excess_bytes(&self) -> bool {
-        let mut bytes = [0; METHOD_BYTES];
+        let mut bytes = [0; METHOD_PEEK_BYTES];
         let received = socket_probe::peek(&self.stream, &mut bytes);
         let method = bytes[..received].split(|b| matches!(b, b' ' | b'\n')).next().unwrap_or_default();
         !method.iter().all(|b| b.is_ascii_uppercase() || *b == b'\r')
     }
 
-    /// How many of the bytes to come certainly belong to the request that is arriving.
+    /// The number of further bytes that belong to the request being received, whatever their content.
     pub(super) fn bytes_within_request(&self) -> u64 {
         self.framing.borrow().bytes_within_request()
     }
 
-    /// How many of these bytes, which have been received and not read, belong to the request that is arriving.
+    /// The number of these peeked bytes that belong to the request being received.
     pub(super) fn request_bytes_in(&self, received: &[u8]) -> usize {
         self.framing.borrow().clone().advance(received)
     }
 
-    /// Records bytes that hyper has read. The gate closes behind the last byte of a request.
+    /// Records bytes that hyper has read. Closes the gate after the last byte of a request.
     pub(super) fn record_read(&self, bytes: &[u8]) {
         if let ConnectionPhase::Idle(_) = self.phase.get() {
             self.pipelining.begin_request();
@@ -229,22 +231,23 @@
 
 /// Transitions between phases.
 impl ClientSocket {
-    /// The request has been received to its end.
+    /// Records that the active request has been received completely.
     pub fn complete_request(&self) {
         self.enter_phase(ConnectionPhase::AwaitingResponse);
     }
 
-    /// The response to the active request is a stream, and begins.
+    /// Records that a streamed response to the active request begins.
     pub fn begin_streaming(&self) {
         self.enter_phase(ConnectionPhase::Streaming);
     }
 
-    /// The response in progress is the last one: nothing is read behind it.
+    /// Marks the response in progress as the connection's last: no request is read after it.
     pub fn mark_last_response(&self) {
         self.is_last_response.set(true);
     }
 
-    /// A response has been handed over: the next request may be read, unless this response was the last.
+    /// Records that hyper is done with a response. Opens the gate for the next request unless this response
+    /// was the last.
     pub fn finish_response(&self) {
         self.has_answered.set(true);
         self.enter_phase(ConnectionPhase::Idle(Instant::now()));
@@ -253,23 +256,23 @@
         }
     }
 
-    /// The sending side of the connection is shut down.
+    /// Records that the sending side of the connection is being shut down.
     pub fn begin_closing(&self) {
         self.enter_phase(ConnectionPhase::Closing(Instant::now()));
     }
 
-    /// The connection's slot is needed for others. A more urgent eviction is never weakened.
+    /// Evicts the connection because its slot is needed. Never downgrades an earlier, more urgent eviction.
     pub fn evict(&self, eviction: Eviction) {
         self.eviction.set(eviction.max(self.eviction.get()));
         self.changed.notify_one();
     }
 
-    /// Records whether the client currently takes what is written to it.
+    /// Records whether output is pending because the client does not read it.
     pub(super) fn set_write_blocked(&self, is_blocked: bool) {
         self.is_write_blocked.set(is_blocked);
     }
 
-    /// Every change of phase passes here, and wakes the task that decides when the connection closes.
+    /// Changes the phase and wakes the connection task. Every phase change goes through this method.
     fn enter_phase(&self, phase: ConnectionPhase) {
         self.phase.set(phase);
         self.changed.notify_one();
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -69,11 +69,11 @@
     let mut recheck_at: Option<Instant> = None;
     loop {
         let is_closing = *shutdown.borrow_and_update() == ShutdownPhase::Closing;
-        let facts = client.facts(is_closing);
-        if is_closing && is_idle_between_requests(&facts) && !client.has_unread_bytes() {
+        let snapshot = client.snapshot(is_closing);
+        if is_closing && is_idle_between_requests(&snapshot) && !client.has_unread_bytes() {
             return CloseReason::Shutdown;
         }
-        let wake_at = recheck_at.take().or_else(|| close_deadline(&facts).map(|(at, _)| at));
+        let wake_at = recheck_at.take().or_else(|| close_deadline(&snapshot).map(|(at, _)| at));
         tokio::select! {
             // hyper first: requests that have been received by now are read before any deadline is considered. The
             // deadline last: it decides on what all the others have changed.
@@ -88,7 +88,7 @@
             () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => return CloseReason::ClientDisconnected,
             () = sleep_until(wake_at) => {
                 // Polling hyper may have changed what is due.
-                let due = close_deadline(&client.facts(is_closing));
+                let due = close_deadline(&client.snapshot(is_closing));
                 let Some((_, reason)) = due.filter(|(at, _)| *at <= Instant::now()) else { continue };
                 if reason == CloseReason::WriteTimeout || may_close(client.phase(), client.has_unread_bytes()) {
                     return reason;
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -76,7 +76,7 @@
     fn is_last_response(&self) -> bool {
         let is_closing = *self.shutdown.borrow() == ShutdownPhase::Closing;
         self.is_over_limit
-            || self.client.is_exhausted()
+            || self.client.is_within_body()
             || self.client.has_disconnected()
             || is_closing && !self.client.has_unread_bytes()
     }
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -74,7 +74,7 @@
     /// Evicts a connection ahead of need: the one that has been idle longest, else the one whose request has been
     /// arriving longest. Guards against clients that connect by the hundred and send nothing, or never a complete
     /// request.
-    pub fn evict_early(&self, counters: &Counters) -> EvictionResult {
+    pub fn evict_gracefully(&self, counters: &Counters) -> EvictionResult {
         let may_evict = |phase| match phase {
             ConnectionPhase::Idle(since) | ConnectionPhase::Closing(since) => {
                 since.elapsed() >= MIN_IDLE_BEFORE_EVICTION
@@ -87,7 +87,7 @@
 
     /// Evicts any connection that is not being answered, since there is no slot left; first those that are closing
     /// already.
-    pub fn evict_at_once(&self, counters: &Counters) -> EvictionResult {
+    pub fn evict_immediately(&self, counters: &Counters) -> EvictionResult {
         self.evict(Eviction::Immediate, |_| true, counters)
     }
 
--- a/src/net/server/framing.rs
+++ b/src/net/server/framing.rs
@@ -1,54 +1,54 @@
-//! Where one request ends and the next begins, and whether that can be read in one way only.
+//! HTTP/1.1 request framing: finds the end of each request and detects ambiguous framing.
 //!
-//! hyper accepts a head with both `Content-Length` and `Transfer-Encoding` by dropping the one, before the service sees
-//! it. Such a head may hide a second request in its body (request smuggling), so heads are inspected here, as bytes. The
-//! end of each request is found here too, since nothing behind it may be read before it is answered.
+//! hyper accepts a head with both `Content-Length` and `Transfer-Encoding` and drops one of them before the
+//! service sees the head. Such a head may hide a second request in its body (request smuggling), so this
+//! module inspects the bytes of each head. It also finds the end of each request, since no byte after it may
+//! be read before the request has been answered.
 
 use std::collections::VecDeque;
 
-/// The most bytes of one header line that are inspected; framing headers are far shorter.
-const MAX_HEADER_BYTES: usize = 256;
+/// The number of bytes of one header line that are inspected; framing headers are far shorter.
+const MAX_INSPECTED_LINE_BYTES: usize = 256;
 
-/// Whether the end of a request's body can be told from its head.
+/// Whether a request's head determines the end of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadFraming {
-    /// In one way only.
+    /// The head permits a single interpretation.
     Unambiguous,
-    /// The head states a length that cannot be read, or two that may differ (RFC 9112, section 6.3).
+    /// The head has an invalid length or transfer coding, or two that may conflict (RFC 9112, section 6.3).
     Ambiguous,
 }
 
-/// Where the next byte stands.
+/// The state of the parser: the part of a request to which the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Position {
-    /// In a head, or before one.
+enum ParserState {
+    /// A head, or blank lines before one.
     #[default]
     Head,
-    /// In a body of known length, of which this many bytes are still to come.
+    /// A body of known length, with this many bytes remaining.
     Body(u64),
-    /// In the line that gives a chunk's size.
+    /// The line with the size of a chunk.
     ChunkSize,
-    /// In a chunk, its line end included, of which this many bytes are still to come.
+    /// A chunk, including its line end, with this many bytes remaining.
     Chunk(u64),
-    /// In the trailers behind the last chunk.
+    /// The trailers after the last chunk.
     Trailers,
-    /// Past what can be followed: an ambiguous head, or a chunk whose size cannot be read. The connection closes with
-    /// this request.
-    Unfollowable,
+    /// Bytes after an ambiguous head or an invalid chunk size. The connection closes after this request.
+    Unparsable,
 }
 
-/// What the current head says about framing so far.
+/// The framing fields of the current head, as far as it has been received.
 #[derive(Clone, Default)]
-struct HeadFields {
-    /// Lines that were not blank, the request line included.
+struct FramingFields {
+    /// The number of non-blank lines, including the request line.
     lines: usize,
     content_length: Option<u64>,
     is_chunked: bool,
     is_invalid: bool,
 }
 
-impl HeadFields {
-    /// Takes a line of the head; only the two fields that frame the body matter.
+impl FramingFields {
+    /// Processes a line of the head; all fields but the two that frame the body are ignored.
     fn add_line(&mut self, line: &[u8]) {
         self.lines += 1;
         let is_request_line = self.lines == 1;
@@ -62,16 +62,16 @@
         }
     }
 
-    /// A second length is invalid unless it is equal to the first.
+    /// Processes a `Content-Length` field. A second one is invalid unless it is equal to the first.
     fn add_content_length(&mut self, value: &[u8]) {
         let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let length = std::str::from_utf8(value).ok().filter(|_| is_number).and_then(|v| v.parse().ok());
-        let differs = self.content_length.is_some_and(|earlier| Some(earlier) != length);
-        self.is_invalid |= length.is_none() || differs;
+        let conflicts = self.content_length.is_some_and(|earlier| Some(earlier) != length);
+        self.is_invalid |= length.is_none() || conflicts;
         self.content_length = length;
     }
 
-    /// What the head says, once all of its lines are in.
+    /// The framing of the complete head.
     fn framing(&self) -> HeadFraming {
         if self.is_invalid || self.is_chunked && self.content_length.is_some() {
             HeadFraming::Ambiguous
@@ -81,91 +81,91 @@
     }
 }
 
-/// Follows the heads and bodies that a client sends, byte by byte.
+/// An incremental parser of the framing of consecutive requests on one connection.
 #[derive(Clone, Default)]
-pub struct Framing {
-    position: Position,
-    /// The current line as far as it has come, up to [`MAX_HEADER_BYTES`].
+pub struct FramingParser {
+    state: ParserState,
+    /// The received part of the current line, up to [`MAX_INSPECTED_LINE_BYTES`].
     line: Vec<u8>,
-    head: HeadFields,
+    head: FramingFields,
     is_at_request_end: bool,
-    /// One for each head that has been followed to its end and not yet taken by [`Framing::next_head`].
+    /// The framing of each complete head that has not yet been taken by [`FramingParser::next_head`].
     heads: VecDeque<HeadFraming>,
 }
 
-impl Framing {
-    /// Whether the next byte is the first of a request.
-    pub fn is_between_requests(&self) -> bool {
-        self.position == Position::Head
+impl FramingParser {
+    /// Whether the next byte belongs to a head, or is the first of a request.
+    pub fn is_in_head(&self) -> bool {
+        self.state == ParserState::Head
     }
 
-    /// Whether the last byte taken was the last of a request.
+    /// Whether the last byte parsed was the last of a request.
     pub fn is_at_request_end(&self) -> bool {
         self.is_at_request_end
     }
 
-    /// The framing of the next head to be handled; ambiguous where no head has been followed.
+    /// The framing of the next head to be handled; ambiguous if no complete head has been parsed.
     pub fn next_head(&mut self) -> HeadFraming {
         self.heads.pop_front().unwrap_or(HeadFraming::Ambiguous)
     }
 
-    /// How many bytes to come belong to the request that is arriving, whatever they contain.
+    /// The number of further bytes that belong to the request being received, whatever their content.
     pub fn bytes_within_request(&self) -> u64 {
-        match self.position {
-            Position::Body(remaining) | Position::Chunk(remaining) => remaining,
-            Position::Unfollowable => u64::MAX,
-            Position::Head | Position::ChunkSize | Position::Trailers => 0,
+        match self.state {
+            ParserState::Body(remaining) | ParserState::Chunk(remaining) => remaining,
+            ParserState::Unparsable => u64::MAX,
+            ParserState::Head | ParserState::ChunkSize | ParserState::Trailers => 0,
         }
     }
 
-    /// Follows bytes up to the end of the request they belong to; returns how many that were.
+    /// Parses bytes up to the end of the request that they belong to. Returns the number of bytes parsed.
     pub fn advance(&mut self, bytes: &[u8]) -> usize {
         let mut rest = bytes;
         self.is_at_request_end = false;
         while !rest.is_empty() && !self.is_at_request_end {
-            let taken = match self.position {
-                Position::Unfollowable => rest.len(),
-                Position::Body(remaining) => self.take_body(remaining, rest.len()),
-                Position::Chunk(remaining) => self.take_chunk(remaining, rest.len()),
-                Position::Head | Position::ChunkSize | Position::Trailers => self.take_line(rest),
+            let parsed = match self.state {
+                ParserState::Unparsable => rest.len(),
+                ParserState::Body(remaining) => self.parse_body(remaining, rest.len()),
+                ParserState::Chunk(remaining) => self.parse_chunk(remaining, rest.len()),
+                ParserState::Head | ParserState::ChunkSize | ParserState::Trailers => self.parse_line(rest),
             };
-            rest = &rest[taken..];
+            rest = &rest[parsed..];
         }
         bytes.len() - rest.len()
     }
 
-    /// Takes bytes of a body of known length; returns how many.
-    fn take_body(&mut self, remaining: u64, available: usize) -> usize {
-        let taken = remaining.min(available as u64);
-        if taken == remaining {
+    /// Parses bytes of a body of known length. Returns their number.
+    fn parse_body(&mut self, remaining: u64, available: usize) -> usize {
+        let parsed = remaining.min(available as u64);
+        if parsed == remaining {
             self.end_request();
         } else {
-            self.position = Position::Body(remaining - taken);
+            self.state = ParserState::Body(remaining - parsed);
         }
-        taken as usize
+        parsed as usize
     }
 
-    /// Takes bytes of a chunk; returns how many.
-    fn take_chunk(&mut self, remaining: u64, available: usize) -> usize {
-        let taken = remaining.min(available as u64);
-        self.position =
-            if taken == remaining { Position::ChunkSize } else { Position::Chunk(remaining - taken) };
-        taken as usize
+    /// Parses bytes of a chunk. Returns their number.
+    fn parse_chunk(&mut self, remaining: u64, available: usize) -> usize {
+        let parsed = remaining.min(available as u64);
+        self.state =
+            if parsed == remaining { ParserState::ChunkSize } else { ParserState::Chunk(remaining - parsed) };
+        parsed as usize
     }
 
-    /// Takes the rest of the current line, or as much of it as there is.
-    fn take_line(&mut self, bytes: &[u8]) -> usize {
+    /// Parses the rest of the current line, as far as it is available. Returns the number of bytes parsed.
+    fn parse_line(&mut self, bytes: &[u8]) -> usize {
         let end = bytes.iter().position(|b| *b == b'\n');
         let part = &bytes[..end.unwrap_or(bytes.len())];
-        let capacity = MAX_HEADER_BYTES.saturating_sub(self.line.len());
+        let capacity = MAX_INSPECTED_LINE_BYTES.saturating_sub(self.line.len());
         self.line.extend_from_slice(&part[..part.len().min(capacity)]);
         let Some(end) = end else { return bytes.len() };
         let line = std::mem::take(&mut self.line);
         let line = line.strip_suffix(b"\r").unwrap_or(&line);
-        match self.position {
-            Position::ChunkSize => self.end_chunk_size_line(line),
-            Position::Trailers if line.is_empty() => self.end_request(),
-            Position::Trailers => {}
+        match self.state {
+            ParserState::ChunkSize => self.end_chunk_size_line(line),
+            ParserState::Trailers if line.is_empty() => self.end_request(),
+            ParserState::Trailers => {}
             _ => self.end_head_line(line),
         }
         end + 1
@@ -175,7 +175,7 @@
         if !line.is_empty() {
             self.head.add_line(line);
         } else if self.head.lines > 0 {
-            // Blank lines ahead of a request are skipped, here as in hyper.
+            // Like hyper, blank lines before a request are skipped.
             self.end_head();
         }
     }
@@ -185,28 +185,28 @@
         let framing = head.framing();
         self.heads.push_back(framing);
         match head.content_length {
-            _ if framing == HeadFraming::Ambiguous => self.position = Position::Unfollowable,
-            _ if head.is_chunked => self.position = Position::ChunkSize,
-            Some(length) if length > 0 => self.position = Position::Body(length),
+            _ if framing == HeadFraming::Ambiguous => self.state = ParserState::Unparsable,
+            _ if head.is_chunked => self.state = ParserState::ChunkSize,
+            Some(length) if length > 0 => self.state = ParserState::Body(length),
             _ => self.end_request(),
         }
     }
 
-    /// The line with a chunk's size in hexadecimal digits; extensions may follow the size.
+    /// Processes the line with a chunk's size in hexadecimal digits, which extensions may follow.
     fn end_chunk_size_line(&mut self, line: &[u8]) {
         let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
         let is_number = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
         let size = std::str::from_utf8(digits).ok().filter(|_| is_number);
-        self.position = match size.and_then(|digits| u64::from_str_radix(digits, 16).ok()) {
-            Some(0) => Position::Trailers,
-            // The chunk's line end belongs to it.
-            Some(size) => size.checked_add(2).map_or(Position::Unfollowable, Position::Chunk),
-            None => Position::Unfollowable,
+        self.state = match size.and_then(|digits| u64::from_str_radix(digits, 16).ok()) {
+            Some(0) => ParserState::Trailers,
+            // The two bytes are the line end of the chunk.
+            Some(size) => size.checked_add(2).map_or(ParserState::Unparsable, ParserState::Chunk),
+            None => ParserState::Unparsable,
         };
     }
 
     fn end_request(&mut self) {
-        self.position = Position::Head;
+        self.state = ParserState::Head;
         self.is_at_request_end = true;
     }
 }
--- a/src/net/server/lingering_close.rs
+++ b/src/net/server/lingering_close.rs
@@ -55,7 +55,7 @@
     let mut socket = GatedSocket::new(client.clone());
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
     let mut remaining = MAX_DISCARDED_BYTES;
-    while client.is_exhausted() && remaining > 0 {
+    while client.is_within_body() && remaining > 0 {
         match socket.read(&mut buffer).await {
             Ok(bytes) if bytes > 0 => remaining = remaining.saturating_sub(bytes),
             _ => break,
