--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -1,8 +1,8 @@
-//! The life of one client connection, from its accept to its close.
+//! The life cycle of one client connection, from its accept to its close.
 //!
-//! hyper reads requests and writes responses; this module decides when the connection ends. From the moment in which its
-//! sending side is shut down no request is read any more: a request that crosses the close on the wire may be sent again
-//! elsewhere only if it was not read.
+//! hyper reads requests and writes responses; this module decides when the connection ends. No request is
+//! read once the sending side is shut down: the client may safely retry a request that crosses the close on
+//! the wire only if it was not read.
 
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::connection_handler::ConnectionHandler;
@@ -20,29 +20,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most bytes that hyper buffers of one connection; no longer head is accepted.
+/// hyper's buffer limit for one connection, which also limits the length of a request's head.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// hyper learns of bytes that have been received within this time.
+/// The delay before a close is reconsidered that was deferred because of unread bytes. By then the runtime
+/// has woken hyper to read them.
 const UNREAD_RECHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// The response to a request that did not arrive completely in time.
+/// The response to a request that was not received completely in time.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
-/// Serves a connection until it has ended. Dropped early, it closes the socket at once, which resets a client
-/// whose bytes have not all been read.
+/// Serves a connection until it has ended. If the future is dropped early, the socket closes at once, which
+/// resets the connection if received bytes are unread.
 pub async fn serve<H: RequestHandler>(handler: ConnectionHandler<H>) {
     let (client, counters) = (handler.client.clone(), handler.counters.clone());
     let _ = client.stream().set_nodelay(true);
     let reason = serve_requests(handler, &client).await;
     log::debug!("connection {}: ends: {reason}", client.number());
     match reason {
-        // hyper has answered what was not HTTP with a 4xx of its own.
+        // hyper has already answered malformed HTTP with a 4xx.
         CloseReason::MalformedRequest => counters.requests_malformed.increment(),
         CloseReason::RequestTimeout => {
             counters.requests_timed_out.increment();
             let _ = client.stream().try_write(REQUEST_TIMEOUT_RESPONSE);
         }
-        // The client takes nothing more: there is no response to protect from a reset.
+        // The client reads nothing more, so there is no response to protect from a reset.
         CloseReason::WriteTimeout | CloseReason::ClientDisconnected => return,
         CloseReason::Completed
         | CloseReason::StreamBroken
@@ -55,7 +56,7 @@
     close_lingering(&client).await;
 }
 
-/// Lets hyper read requests and answer them until the connection has to end; returns why.
+/// Serves requests with hyper until the connection has to end. Returns the reason.
 async fn serve_requests<H: RequestHandler>(
     handler: ConnectionHandler<H>,
     client: &Rc<ClientSocket>,
@@ -75,47 +76,49 @@
         }
         let wake_at = recheck_at.take().or_else(|| close_deadline(&snapshot).map(|(at, _)| at));
         tokio::select! {
-            // hyper first: requests that have been received by now are read before any deadline is considered. The
-            // deadline last: it decides on what all the others have changed.
+            // hyper is polled first, to read the requests received so far before any deadline is checked, and
+            // the deadline last, to take into account the changes of the other branches.
             biased;
             result = poll_fn(|cx| connection.poll_without_shutdown(cx)) => {
-                return close_reason_of_http(client, result);
+                return close_reason_from_hyper(client, result);
             }
             Ok(()) = shutdown.changed() => {}
             () = client.changed() => {}
-            // Only in a stream: a client that disconnects before its response begins is answered all the same, since
-            // it may only have ended its sending.
+            // Only while streaming: a client that disconnects before its response begins is still answered,
+            // since it may have shut down only its sending side.
             () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => return CloseReason::ClientDisconnected,
             () = sleep_until(wake_at) => {
-                // Polling hyper may have changed what is due.
+                // Polling hyper may have changed the deadline.
                 let due = close_deadline(&client.snapshot(is_closing));
                 let Some((_, reason)) = due.filter(|(at, _)| *at <= Instant::now()) else { continue };
                 if reason == CloseReason::WriteTimeout || may_close(client.phase(), client.has_unread_bytes()) {
                     return reason;
                 }
-                // A request has been received that hyper has not been told of: the connection is no longer idle.
+                // The unread bytes begin a request that hyper has not been woken for yet: the connection is
+                // not idle.
                 recheck_at = Some(Instant::now() + UNREAD_RECHECK_INTERVAL);
             }
         }
     }
 }
 
-/// Sleeps until this moment; forever without one.
-async fn sleep_until(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => tokio::time::sleep_until(moment).await,
+/// Sleeps until the deadline; never resolves without one.
+async fn sleep_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
 
-/// Why the connection ends after hyper has finished with it. What is no malformed request differs in the log alone.
-fn close_reason_of_http(client: &ClientSocket, result: hyper::Result<()>) -> CloseReason {
+/// The close reason for the result of hyper's connection future. All but
+/// [`MalformedRequest`](CloseReason::MalformedRequest) differ only in the log.
+fn close_reason_from_hyper(client: &ClientSocket, result: hyper::Result<()>) -> CloseReason {
     let Err(error) = result else { return CloseReason::Completed };
     log::debug!("connection {}: {error}", client.number());
     if error.is_parse() || error.is_parse_too_large() {
         CloseReason::MalformedRequest
     } else if error.is_user() {
-        // The only error of the service that hyper meets: the handler itself is infallible.
+        // The service is infallible, so a user error can only be that of a response body.
         CloseReason::StreamBroken
     } else {
         CloseReason::ConnectionError
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -1,4 +1,5 @@
-//! Passes the requests of one connection to the request handler, and decides which response is the connection's last.
+//! The hyper service of one connection: passes requests to the request handler and decides which response is
+//! the connection's last.
 
 use crate::net::LocalBoxFuture;
 use crate::net::server::client_socket::ClientSocket;
@@ -18,29 +19,29 @@
 use tower::limit::ConcurrencyLimit;
 use tower::load_shed::LoadShed;
 
-/// The request handler behind the limit on requests that wait for the head of their response. All connections share
-/// the limit; over it a request is rejected instead of queued.
+/// The request handler behind the limit on requests that await the head of their response. All connections
+/// share the limit; above it a request is rejected instead of queued.
 pub type LimitedHandler<H> = LoadShed<ConcurrencyLimit<H>>;
 
 /// The hyper service of one connection.
 #[derive(Clone)]
 pub struct ConnectionHandler<H> {
-    /// Answers requests, within the limit of all connections.
+    /// The request handler behind the concurrency limit that all connections share.
     pub limited: LimitedHandler<H>,
-    /// The same handler, for the responses to requests over a limit.
+    /// The same handler without the limit, for the responses to rejected requests.
     pub handler: H,
-    /// The connection.
+    /// The state of the connection.
     pub client: Rc<ClientSocket>,
-    /// Where requests over a limit are counted.
+    /// The counters of rejected requests.
     pub counters: Rc<Counters>,
-    /// Whether the connection was accepted over the limit on connections: its requests are rejected.
+    /// Whether the connection was accepted above the connection limit, so that its requests are rejected.
     pub is_over_limit: bool,
-    /// How far a graceful shutdown has progressed.
+    /// The current phase of a graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownPhase>,
 }
 
 impl<H: RequestHandler> ConnectionHandler<H> {
-    /// Answers a request, and marks the response as the connection's last where it is.
+    /// Answers a request, and marks the response with `Connection: close` if it is the connection's last.
     async fn respond(self, request: Request<Incoming>) -> Response<TrackedBody<H::Body>> {
         let mut response = self.handle(request).await;
         if self.is_last_response() {
@@ -53,7 +54,7 @@
         response.map(|body| TrackedBody::new(body, self.client))
     }
 
-    /// Passes a request to the handler, or rejects it because the connection or the request is over a limit.
+    /// Passes a request to the handler, or rejects it if the connection or the request is above a limit.
     async fn handle(&self, request: Request<Incoming>) -> Response<H::Body> {
         let client = &self.client;
         let label = RequestLabel::new(&request);
@@ -62,17 +63,20 @@
             return self.handler.overload_response();
         }
         let received = ReceivedRequest { request, client: client.clone(), shutdown: self.shutdown.clone() };
-        // The handler itself does not fail: an error is the limit's.
+        // The handler is infallible: an error can only come from load shedding.
         let Ok(response) = self.limited.clone().oneshot(received).await else {
-            log::debug!("connection {}: {label} rejected: too many requests wait", client.number());
+            log::debug!(
+                "connection {}: {label} rejected: too many requests await a response",
+                client.number()
+            );
             self.counters.requests_shed.increment();
             return self.handler.overload_response();
         };
         response
     }
 
-    /// Whether the connection closes after this response. During a graceful shutdown it does not while a further
-    /// request has arrived: that one is still to be rejected.
+    /// Whether the connection closes after this response. During a graceful shutdown it stays open if another
+    /// request has been received, which is then answered with a rejection.
     fn is_last_response(&self) -> bool {
         let is_closing = *self.shutdown.borrow() == ShutdownPhase::Closing;
         self.is_over_limit
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -1,4 +1,4 @@
-//! The registry of open client connections, and the choice of those that are evicted when connections run short.
+//! The registry of open client connections, and the choice of connections to evict near or at the limit.
 
 use crate::net::server::client_socket::ClientSocket;
 use crate::rules::close::{ConnectionPhase, Eviction};
@@ -10,13 +10,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A connection idle for less than this is not evicted early: a client that has just connected gets to send its
-/// request.
+/// The minimum idle time before graceful eviction. It leaves a client that has just connected time to send
+/// its request.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// The same for a connection whose request has not arrived completely.
-const MIN_ARRIVAL_BEFORE_EVICTION: Duration = Duration::from_millis(400);
+/// The minimum time a request may take to be received before its connection is gracefully evicted.
+const MIN_RECEIVE_BEFORE_EVICTION: Duration = Duration::from_millis(400);
 
-/// The open client connections.
+/// The registry of open client connections.
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<BTreeMap<u64, Rc<ClientSocket>>>,
@@ -24,75 +24,76 @@
     slot_released: Notify,
 }
 
-/// What became of an attempt to evict a connection for others.
+/// The result of an attempt to evict a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionResult {
-    /// A connection was told to close. It may still be answered first, if a request arrives at this moment.
+    /// A connection was told to close. If it receives a request before it closes, it answers that first.
     Requested,
-    /// There is no connection that may be closed.
+    /// No connection may be evicted.
     NoCandidate,
-    /// There are slots enough: no connection was considered.
+    /// Enough slots are free; no connection was considered.
     NotNeeded,
 }
 
-/// The order in which connections are evicted: by variant, then the longest in its phase first.
+/// The order in which connections are evicted: by variant, then by the time in the phase, longest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Its sending side is shut down, and only its client has yet to close.
-    ClosingAlready(Instant),
-    /// Between two requests. An early eviction ranks closing connections here too: they end by themselves.
+    /// The router has shut down its sending side, and the client has not closed yet.
+    Closing(Instant),
+    /// The connection is between two requests. Graceful eviction ranks closing connections here too, since
+    /// they end without eviction.
     Idle(Instant),
-    /// Its request is arriving.
-    RequestArriving(Instant),
+    /// A request has been received in part.
+    ReceivingRequest(Instant),
 }
 
 impl Connections {
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Resolves when a connection has ended and its slot is free. Cancel-safe; for a single waiter.
+    /// Resolves when a connection has ended and released its slot. Cancel-safe; supports a single waiter.
     pub async fn slot_released(&self) {
         self.slot_released.notified().await;
     }
 
-    /// The number of the next connection in the log.
+    /// Allocates the number that identifies the next connection in the log.
     pub fn next_number(&self) -> u64 {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         number
     }
 
-    /// Registers a connection for as long as the returned slot lives.
+    /// Registers a connection until the returned slot is dropped.
     pub fn register(self: &Rc<Self>, client: Rc<ClientSocket>) -> ConnectionSlot {
         let number = client.number();
         self.open.borrow_mut().insert(number, client);
         ConnectionSlot { connections: self.clone(), number }
     }
 
-    /// Evicts a connection ahead of need: the one that has been idle longest, else the one whose request has been
-    /// arriving longest. Guards against clients that connect by the hundred and send nothing, or never a complete
-    /// request.
+    /// Evicts a connection before the limit is reached: the one that has been idle longest, or else the one
+    /// that has been receiving a request longest. Protects against clients that open hundreds of connections
+    /// and send nothing or only incomplete requests.
     pub fn evict_gracefully(&self, counters: &Counters) -> EvictionResult {
         let may_evict = |phase| match phase {
             ConnectionPhase::Idle(since) | ConnectionPhase::Closing(since) => {
                 since.elapsed() >= MIN_IDLE_BEFORE_EVICTION
             }
-            ConnectionPhase::ReceivingRequest(since) => since.elapsed() >= MIN_ARRIVAL_BEFORE_EVICTION,
+            ConnectionPhase::ReceivingRequest(since) => since.elapsed() >= MIN_RECEIVE_BEFORE_EVICTION,
             ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming => false,
         };
         self.evict(Eviction::Graceful, may_evict, counters)
     }
 
-    /// Evicts any connection that is not being answered, since there is no slot left; first those that are closing
-    /// already.
+    /// Evicts a connection without a request in flight because no slot is left; closing connections rank
+    /// first.
     pub fn evict_immediately(&self, counters: &Counters) -> EvictionResult {
         self.evict(Eviction::Immediate, |_| true, counters)
     }
 
-    /// Tells the connection that ranks first to close: among those whose phase satisfies `may_evict`, that are not
-    /// being answered, have not been told as urgently before, and have written out their last response.
+    /// Evicts the connection that ranks first, among those whose phase satisfies `may_evict`, that have no
+    /// request in flight, have not been evicted with the same urgency before and have no pending output.
     fn evict(
         &self,
         eviction: Eviction,
@@ -102,10 +103,10 @@
         let rank = |client: &ClientSocket| match client.phase() {
             phase if !may_evict(phase) => None,
             ConnectionPhase::Closing(since) if eviction == Eviction::Immediate => {
-                Some(EvictionRank::ClosingAlready(since))
+                Some(EvictionRank::Closing(since))
             }
             ConnectionPhase::Idle(since) | ConnectionPhase::Closing(since) => Some(EvictionRank::Idle(since)),
-            ConnectionPhase::ReceivingRequest(since) => Some(EvictionRank::RequestArriving(since)),
+            ConnectionPhase::ReceivingRequest(since) => Some(EvictionRank::ReceivingRequest(since)),
             ConnectionPhase::AwaitingResponse | ConnectionPhase::Streaming => None,
         };
         let open = self.open.borrow();
@@ -115,14 +116,14 @@
             return EvictionResult::NoCandidate;
         };
         client.evict(eviction);
-        let urgency = if eviction == Eviction::Immediate { "at once" } else { "early" };
-        log::debug!("connection {}: to be evicted {urgency}, {} open", client.number(), open.len());
+        let urgency = if eviction == Eviction::Immediate { "immediately" } else { "gracefully" };
+        log::debug!("connection {}: evicted {urgency}, {} open", client.number(), open.len());
         counters.connections_evicted.increment();
         EvictionResult::Requested
     }
 }
 
-/// A connection's entry in the registry. Dropping it removes the connection and wakes whoever waits for a slot.
+/// A connection's entry in the registry. Dropping it removes the connection and wakes the waiter for a slot.
 pub struct ConnectionSlot {
     connections: Rc<Connections>,
     number: u64,
--- a/src/net/server/gated_socket.rs
+++ b/src/net/server/gated_socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket as hyper sees it: reading stops behind each request until it has been answered.
+//! The I/O of a client connection as passed to hyper: reading stops after each request until it is answered.
 
 use crate::net::failure::{TransferFailure, classify_transfer_error};
 use crate::net::server::client_socket::ClientSocket;
@@ -9,42 +9,42 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The most bytes that are inspected in one step, ahead of reading them, while the end of the request is not known.
+/// The maximum number of bytes peeked at a time while the end of the request is not known.
 const PEEK_BYTES: usize = 4 * 1024;
 
-/// The socket as hyper reads and writes it. It never reads past the end of the request that is arriving, and reports
-/// reads and blocked writes to the [`ClientSocket`].
+/// Never reads past the end of the request being received, and reports reads and blocked writes to the
+/// [`ClientSocket`].
 ///
-/// It wraps a [`Socket`] instead of being one with a [`WriteMonitor`](crate::net::socket::WriteMonitor): a monitor sees
-/// neither reads nor the writes that are pending.
+/// It wraps a [`Socket`] instead of using a [`WriteMonitor`](crate::net::socket::WriteMonitor), since a
+/// monitor observes neither reads nor pending writes.
 pub struct GatedSocket {
     socket: Socket,
     client: Rc<ClientSocket>,
 }
 
 impl GatedSocket {
-    /// A further owner of this client's socket.
+    /// Creates another owner of the client's stream.
     pub fn new(client: Rc<ClientSocket>) -> Self {
         GatedSocket { socket: Socket::new(client.stream().clone()), client }
     }
 
-    /// How many bytes may be read without reading past the request that is arriving.
+    /// The number of bytes that may be read without reading past the request being received.
     fn poll_readable_bytes(&self, cx: &mut Context<'_>, wanted: usize) -> Poll<io::Result<usize>> {
         let within_request = self.client.bytes_within_request();
         if within_request > 0 {
             return Poll::Ready(Ok(wanted.min(usize::try_from(within_request).unwrap_or(usize::MAX))));
         }
         let mut bytes = [0; PEEK_BYTES];
-        let mut received = ReadBuf::new(&mut bytes[..wanted.min(PEEK_BYTES)]);
-        while let Err(error) = ready!(self.client.stream().poll_peek(cx, &mut received)) {
+        let mut peeked = ReadBuf::new(&mut bytes[..wanted.min(PEEK_BYTES)]);
+        while let Err(error) = ready!(self.client.stream().poll_peek(cx, &mut peeked)) {
             if classify_transfer_error(&error) != TransferFailure::Interrupted {
                 return Poll::Ready(Err(error));
             }
         }
-        Poll::Ready(Ok(self.client.request_bytes_in(received.filled())))
+        Poll::Ready(Ok(self.client.request_bytes_in(peeked.filled())))
     }
 
-    /// Tells the connection whether its client takes what is written: a pending write is a blocked one.
+    /// Reports to the connection whether its output is blocked, which is the case while a write is pending.
     fn report_write<T>(&self, result: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
         self.client.set_write_blocked(result.is_pending());
         result
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -1,7 +1,7 @@
-//! What the server asks of the protocol above it.
+//! The interface between the server and the application protocol on top of it.
 //!
-//! The server accepts and limits connections, finds the boundaries between requests and decides when a connection
-//! closes. What a request means is the concern of the [`RequestHandler`] that the listener is built with.
+//! The server accepts and limits connections, finds the boundaries between requests and decides when a
+//! connection closes. Requests are interpreted by the [`RequestHandler`] of the listener.
 
 use crate::net::server::received_request::ReceivedRequest;
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 
 /// Answers the requests of all connections.
 ///
-/// The listener clones it for each request. The future of a call is dropped when its connection ends first.
+/// It is cloned for each request. The future of a call is dropped if its connection ends first.
 pub trait RequestHandler:
     Service<
         ReceivedRequest,
@@ -23,16 +23,16 @@
     + Unpin
     + 'static
 {
-    /// The body of its responses.
+    /// The type of response bodies.
     type Body: HandlerBody;
 
-    /// The response to a request that is not handled because the server is over one of its limits.
+    /// The response to a request that is rejected because the server is above one of its limits.
     fn overload_response(&self) -> Response<Self::Body>;
 }
 
 /// A response body that the server can send.
 pub trait HandlerBody: Body<Data = Bytes, Error: Into<BoxError>> + Unpin + 'static {
-    /// Whether the body is produced while it is being sent. A client that disconnects from such a response ends its
-    /// connection at once.
+    /// Whether the body is streamed, that is, produced while it is being sent. If the client disconnects
+    /// during a streamed response, the connection closes at once.
     fn is_stream(&self) -> bool;
 }
--- a/src/net/server/lingering_close.rs
+++ b/src/net/server/lingering_close.rs
@@ -1,7 +1,7 @@
-//! Closes a connection without losing the response that its client has not read yet.
+//! Lingering close: closes a connection without losing a response that its client has not read yet.
 //!
-//! A socket closed over unread bytes is reset, and what the client has not read is lost with the reset. So only the
-//! sending side is shut down first, and the client has some time to close the connection itself.
+//! Closing a socket with unread bytes resets the connection, and the client loses what it has not read yet.
+//! So only the sending side is shut down first, and the client has some time to close the connection itself.
 
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::gated_socket::GatedSocket;
@@ -12,45 +12,47 @@
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 
-/// How long the client has to close after the sending side is shut down.
+/// The time limit for the client to close after the sending side is shut down.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same for an evicted connection: a round trip on any ordinary network.
+/// The same for an evicted connection; it covers a round trip on any ordinary network.
 const EVICTED_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// The most bytes of an answered request that are read and discarded meanwhile.
+/// The maximum number of bytes of an answered request that are read and discarded while lingering.
 const MAX_DISCARDED_BYTES: usize = 2 * MAX_BODY_BYTES;
-/// The size of one read of bytes that are discarded.
+/// The size of the buffer for discarded bytes.
 const DISCARD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Shuts down the sending side, and waits until the client has closed, its time is up or its slot is needed.
+/// Shuts down the sending side, and waits until the client has closed, the linger timeout has passed or the
+/// connection is evicted.
 pub async fn close_lingering(client: &Rc<ClientSocket>) {
     client.begin_closing();
-    // Whichever comes first ends the connection in the same way; the order of polling makes no difference.
+    // All branches end the connection in the same way; the order of polling makes no difference.
     tokio::select! {
         () = shut_down_and_wait_for_client(client) => {}
         () = tokio::time::sleep(LINGER_TIMEOUT) => {}
-        () = evicted(client) => {}
+        () = eviction_due(client) => {}
     }
 }
 
-/// Shuts down the sending side, then waits until the client has closed. The rest of a request that has been answered is
-/// read and discarded, or the client might be reset while it sends; nothing behind that request is read.
+/// Shuts down the sending side, then waits until the client has closed. The rest of a request that has been
+/// answered is read and discarded, since a client that is still sending might be reset otherwise; nothing
+/// after that request is read.
 ///
-/// Dropped early, it leaves the sending side shut down.
+/// If the future is dropped early, the sending side stays shut down.
 async fn shut_down_and_wait_for_client(client: &Rc<ClientSocket>) {
     let _ = Socket::new(client.stream().clone()).shutdown_write();
-    // The second branch never resolves: it only reads for as long as the client is there.
+    // The second branch never resolves: it only reads while the client is connected.
     tokio::select! {
         () = client.disconnected() => {}
         () = discard_answered_request(client) => {}
     }
-    // A client that has only ended its sending may still be reading: closing over unread bytes would reset it. The
-    // caller's timeout ends the wait.
+    // A client that has shut down only its sending side may still be reading: closing with unread bytes would
+    // reset it. The caller's timeout ends the wait.
     if client.has_unread_bytes() {
         std::future::pending().await
     }
 }
 
-/// Reads and discards the rest of a body whose request has been answered. Never resolves.
+/// Reads and discards the rest of the body of an answered request. Never resolves.
 async fn discard_answered_request(client: &Rc<ClientSocket>) {
     let mut socket = GatedSocket::new(client.clone());
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
@@ -64,20 +66,21 @@
     std::future::pending().await
 }
 
-/// Resolves when the connection's slot is needed for others, after a shorter linger if there is time for one.
-async fn evicted(client: &ClientSocket) {
+/// Resolves when the connection is evicted: after a shorter linger timeout if gracefully, at once if
+/// immediately.
+async fn eviction_due(client: &ClientSocket) {
     while client.eviction() == Eviction::None {
         client.changed().await;
     }
-    // Either way the eviction is due; the order of polling makes no difference.
+    // Both branches make the eviction due; the order of polling makes no difference.
     tokio::select! {
         () = tokio::time::sleep(EVICTED_LINGER_TIMEOUT) => {}
-        () = evicted_at_once(client) => {}
+        () = immediate_eviction(client) => {}
     }
 }
 
-/// Resolves when there is no time left for the client to close first.
-async fn evicted_at_once(client: &ClientSocket) {
+/// Resolves when the connection is evicted without time for the client to close first.
+async fn immediate_eviction(client: &ClientSocket) {
     while client.eviction() < Eviction::Immediate {
         client.changed().await;
     }
--- a/src/net/server/memory_budget.rs
+++ b/src/net/server/memory_budget.rs
@@ -1,20 +1,20 @@
-//! A limit on the memory that request bodies take at once, over all connections.
+//! A limit on the memory that the request bodies of all connections occupy together.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bytes that may still be reserved.
+/// A shared budget of memory, from which reservations are made.
 pub struct MemoryBudget {
     available: Cell<usize>,
 }
 
-/// The budget has fewer bytes left than were asked for.
+/// The budget has fewer bytes left than requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the memory budget for request bodies is exhausted")]
 pub struct BudgetExhausted;
 
 impl MemoryBudget {
-    /// A budget of this many bytes.
+    /// Creates a budget of this many bytes.
     pub fn new(bytes: usize) -> Rc<Self> {
         Rc::new(MemoryBudget { available: Cell::new(bytes) })
     }
@@ -27,15 +27,16 @@
 }
 
 impl MemoryReservation {
-    /// A reservation of no bytes yet.
+    /// Creates an empty reservation.
     pub fn new(budget: Rc<MemoryBudget>) -> Self {
         MemoryReservation { budget, bytes: 0 }
     }
 
-    /// Reserves more. To be called as bytes arrive, so that a length that is only declared takes nothing from others.
+    /// Reserves more bytes. Call it as bytes are received, so that a declared length alone occupies no memory
+    /// of the budget.
     ///
     /// # Errors
-    /// The budget has too few bytes left; the reservation stays as it was.
+    /// The budget has too few bytes left; the reservation is unchanged.
     pub fn grow(&mut self, bytes: usize) -> Result<(), BudgetExhausted> {
         let available = self.budget.available.get().checked_sub(bytes).ok_or(BudgetExhausted)?;
         self.budget.available.set(available);
--- a/src/net/server/memory_budget/tests.rs
+++ b/src/net/server/memory_budget/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of what is private to `memory_budget`.
+//! Unit tests of the memory budget.
 
 use super::*;
 
 #[test]
-fn a_reservation_over_the_budget_is_rejected_and_leaves_the_budget_as_it_was() {
+fn a_reservation_above_the_budget_fails_and_leaves_the_budget_unchanged() {
     let budget = MemoryBudget::new(10);
     let mut reservation = MemoryReservation::new(budget.clone());
     assert_eq!(reservation.grow(8), Ok(()));
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -1,7 +1,8 @@
-//! The server side of client connections: accepting, limits and eviction, the life of a connection, request framing.
+//! The server side: accepting client connections, limits and eviction, the life cycle of a connection and
+//! request framing.
 //!
-//! Nothing here knows what a request means: the listener passes each one to the [`RequestHandler`](handler::RequestHandler)
-//! that it is built with.
+//! Requests are not interpreted here: the listener passes each one to its
+//! [`RequestHandler`](handler::RequestHandler).
 
 pub mod accept;
 pub mod client_socket;
--- a/src/net/server/read_gate.rs
+++ b/src/net/server/read_gate.rs
@@ -1,43 +1,43 @@
-//! Stops hyper from reading past the request that is being answered.
+//! A gate that keeps hyper from reading past the active request.
 
 use std::cell::{Cell, RefCell};
 use std::task::{Context, Poll, Waker};
 
-/// Open while a request is read, closed from its last byte until its response has been handed over.
+/// Open while a request is read, closed from its last byte until hyper is done with its response.
 ///
-/// hyper's own buffering would otherwise read pipelined requests ahead. What is left in the system's buffer counts as
-/// never read, so that its client may send it again elsewhere when the connection closes.
+/// Without it, hyper would read pipelined requests into its buffer. A request left in the kernel's receive
+/// buffer counts as unread, so the client may safely retry it elsewhere when the connection closes.
 pub struct ReadGate {
     is_open: Cell<bool>,
-    /// The task that wants to read while the gate is closed.
-    waiting_task: RefCell<Option<Waker>>,
+    /// The waker of the task that waits for the gate to open.
+    waker: RefCell<Option<Waker>>,
 }
 
 impl ReadGate {
-    /// An open gate.
+    /// Creates an open gate.
     pub fn new() -> Self {
-        ReadGate { is_open: Cell::new(true), waiting_task: RefCell::default() }
+        ReadGate { is_open: Cell::new(true), waker: RefCell::default() }
     }
 
-    /// Lets reads through, and wakes the task that waits for it.
+    /// Permits reads, and wakes the waiting task.
     pub fn open(&self) {
         self.is_open.set(true);
-        if let Some(task) = self.waiting_task.take() {
-            task.wake();
+        if let Some(waker) = self.waker.take() {
+            waker.wake();
         }
     }
 
-    /// Holds reads back from now on.
+    /// Blocks reads until the gate opens.
     pub fn close(&self) {
         self.is_open.set(false);
     }
 
-    /// Ready while the gate is open; otherwise the task is woken when it opens.
+    /// Ready while the gate is open; otherwise registers the task to be woken when it opens.
     pub fn poll_open(&self, cx: &Context<'_>) -> Poll<()> {
         if self.is_open.get() {
             return Poll::Ready(());
         }
-        self.waiting_task.replace(Some(cx.waker().clone()));
+        self.waker.replace(Some(cx.waker().clone()));
         Poll::Pending
     }
 }
--- a/src/net/server/received_request.rs
+++ b/src/net/server/received_request.rs
@@ -7,15 +7,15 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The longest request body that is accepted, in bytes.
+/// The maximum length of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// A request whose head has been read, and the connection on which it arrives.
+/// A request whose head has been read, and the connection on which it is received.
 pub struct ReceivedRequest {
-    /// The request; its body may still be arriving.
+    /// The request; its body may not have been received completely.
     pub request: Request<Incoming>,
-    /// The client's connection.
+    /// The state of the client's connection.
     pub client: Rc<ClientSocket>,
-    /// How far a graceful shutdown has progressed.
+    /// The current phase of a graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownPhase>,
 }
--- a/src/net/server/request_label.rs
+++ b/src/net/server/request_label.rs
@@ -1,20 +1,21 @@
-//! How log lines of the server name a request.
+//! The label of a request in the server's log lines.
 
 use crate::net::is_valid_id;
 use hyper::Request;
 use hyper::header::HeaderValue;
 use std::fmt;
 
-/// The header in which clients of the platform's protocol state a request's id.
+/// The request id header of the platform protocol.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// A request in a log line: `request ID`, or `request` alone where its head states no valid id.
+/// Displays as `request ID`, or as `request` if its head has no valid id.
 ///
-/// It is taken before the request is handed over, since a rejection is logged when the request itself is gone.
+/// Created before the request is passed to the handler, since a rejection is logged after the request is
+/// dropped.
 pub struct RequestLabel(Option<HeaderValue>);
 
 impl RequestLabel {
-    /// The label of this request.
+    /// Creates the label of a request.
     pub fn new<B>(request: &Request<B>) -> Self {
         RequestLabel(request.headers().get(REQUEST_ID_HEADER).cloned())
     }
--- a/src/net/server/shutdown_phase.rs
+++ b/src/net/server/shutdown_phase.rs
@@ -1,11 +1,11 @@
-//! The phases of a graceful shutdown, as client connections see them.
+//! The phases of a graceful shutdown, as seen by client connections.
 
-/// How far a graceful shutdown has progressed.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// Connections are accepted and requests are served.
+    /// No shutdown is in progress: connections are accepted and requests are served.
     Serving,
-    /// Idle connections are closed, every other connection closes after the response in progress, and requests that
-    /// still arrive are rejected.
+    /// Idle connections are closed, all other connections close after the response in progress, and new
+    /// requests are rejected.
     Closing,
 }
--- a/src/net/server/socket_probe.rs
+++ b/src/net/server/socket_probe.rs
@@ -1,4 +1,4 @@
-//! What the operating system knows of a client's socket at this moment, without reading from it.
+//! Queries of the kernel's state of a client's socket that do not read from it.
 
 use crate::net::socket::retry_on_interrupt;
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -6,24 +6,24 @@
 use std::os::fd::AsFd;
 use tokio::net::TcpStream;
 
-/// Whether the other side has closed the connection, or at least its sending side, even if unread bytes precede the
+/// Whether the peer has closed the connection, or at least its sending side, even if unread bytes precede the
 /// close.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
     let mut fds = [PollFd::new(stream, PollFlags::RDHUP)];
-    // An error of the call itself says nothing about the other side.
+    // A failed call says nothing about the peer.
     let _ = retry_on_interrupt(|| Ok(poll(&mut fds, Some(&NO_WAIT))?));
     fds[0].revents().intersects(PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR)
 }
 
-/// Copies received bytes into `bytes` and leaves them unread; returns how many there were.
+/// Copies received bytes into `bytes` without consuming them. Returns their number.
 pub fn peek(stream: &TcpStream, bytes: &mut [u8]) -> usize {
     let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
     let received = retry_on_interrupt(|| Ok(recv(stream.as_fd(), &mut *bytes, flags)?));
     received.map_or(0, |(received, _)| received)
 }
 
-/// Whether bytes have been received that were not read.
+/// Whether received bytes have not been read yet.
 pub fn has_unread_bytes(stream: &TcpStream) -> bool {
     peek(stream, &mut [0]) > 0
 }
--- a/src/net/server/tracked_body.rs
+++ b/src/net/server/tracked_body.rs
@@ -1,4 +1,4 @@
-//! A response body that reports to its connection when the response is over.
+//! A response body that notifies its connection when hyper drops it.
 
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::handler::HandlerBody;
@@ -8,15 +8,15 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The body of a response in progress. hyper drops it when the response has been handed over or has failed; the
-/// connection reads its next request from then on.
+/// The body of a response in progress. hyper drops it when the body has been passed on completely or has
+/// failed; from then on the connection may read its next request.
 pub struct TrackedBody<B> {
     body: B,
     client: Rc<ClientSocket>,
 }
 
 impl<B> TrackedBody<B> {
-    /// Tracks a response on this connection.
+    /// Wraps the body of a response on this connection.
     pub fn new(body: B, client: Rc<ClientSocket>) -> Self {
         TrackedBody { body, client }
     }
