--- a/src/net/failure.rs
+++ b/src/net/failure.rs
@@ -1,19 +1,21 @@
-//! Classification of failed system calls: whether an error concerns one connection, this machine or the peer.
+//! Classification of failed system calls: whether an error concerns one connection, the local host or the
+//! peer.
 //!
-//! Every error number that accept(2), connect(2), recv(2) and send(2) document is classified here and nowhere
-//! else.
+//! All error numbers documented for accept(2), connect(2), recv(2) and send(2) are classified here and
+//! nowhere else.
 
 use rustix::io::Errno;
 use std::io;
 
-/// What a failed accept(2) concerns.
+/// The scope of an accept(2) failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// A connection that was gone before it was accepted, or a signal. The next accept may succeed at once.
+    /// The connection was aborted before it was accepted, or a signal interrupted the call. The next accept
+    /// may succeed at once.
     Connection,
-    /// This process: it has no file descriptor left and has to close one of its own.
+    /// The process has no file descriptor left and has to close one.
     OwnDescriptors,
-    /// This machine: it is short of a resource for a moment. This process can only wait.
+    /// The local host is temporarily short of a resource. The process can only wait.
     Machine,
 }
 
@@ -22,17 +24,17 @@
     match Errno::from_io_error(error) {
         Some(Errno::MFILE) => AcceptFailure::OwnDescriptors,
         Some(Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::Machine,
-        // Linux also reports pending network errors of the connection that would have been accepted.
+        // Includes the pending network errors of the new connection, which Linux also reports from accept(2).
         _ => AcceptFailure::Connection,
     }
 }
 
-/// What a failed socket(2) or connect(2) concerns.
+/// The scope of a socket(2) or connect(2) failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// A signal: the call is repeated at once.
+    /// A signal interrupted the call, which is repeated at once.
     Interrupted,
-    /// This machine or its network interface: the condition may pass in a moment, and says nothing about the
+    /// The local host or its network interface. The condition may be temporary, and says nothing about the
     /// peer.
     Machine,
     /// The peer, or the network path to it.
@@ -58,16 +60,16 @@
     }
 }
 
-/// What a failed read or write on a connection concerns.
+/// The scope of a recv(2) or send(2) failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferFailure {
-    /// A signal: the call is repeated at once.
+    /// A signal interrupted the call, which is repeated at once.
     Interrupted,
-    /// Nothing is wrong: there is nothing to read, or no buffer space to write to.
+    /// Not an error: the receive buffer is empty or the send buffer is full.
     NotReady,
-    /// This machine: it is short of memory for a moment, and the call is repeated after a pause.
+    /// The local host is temporarily short of memory; the call is repeated after a pause.
     Machine,
-    /// The connection, which can't be used any more.
+    /// The connection, which is no longer usable.
     Connection,
 }
 
--- a/src/net/failure/tests.rs
+++ b/src/net/failure/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the classification of error numbers.
+//! Unit tests of the classification of error numbers.
 
 use super::*;
 use rstest::rstest;
@@ -8,13 +8,13 @@
 }
 
 #[rstest]
-#[case::connection_gone(Errno::CONNABORTED, AcceptFailure::Connection)]
+#[case::connection_aborted(Errno::CONNABORTED, AcceptFailure::Connection)]
 #[case::interrupted(Errno::INTR, AcceptFailure::Connection)]
 #[case::protocol(Errno::PROTO, AcceptFailure::Connection)]
-#[case::network_of_the_connection(Errno::NETUNREACH, AcceptFailure::Connection)]
+#[case::network_error_of_the_connection(Errno::NETUNREACH, AcceptFailure::Connection)]
 #[case::firewall(Errno::PERM, AcceptFailure::Connection)]
-#[case::own_descriptors(Errno::MFILE, AcceptFailure::OwnDescriptors)]
-#[case::file_table(Errno::NFILE, AcceptFailure::Machine)]
+#[case::process_file_descriptors(Errno::MFILE, AcceptFailure::OwnDescriptors)]
+#[case::system_file_table(Errno::NFILE, AcceptFailure::Machine)]
 #[case::buffers(Errno::NOBUFS, AcceptFailure::Machine)]
 #[case::memory(Errno::NOMEM, AcceptFailure::Machine)]
 fn accept_errors_are_classified(#[case] errno: Errno, #[case] expected: AcceptFailure) {
@@ -26,8 +26,8 @@
 #[case::no_local_port(Errno::ADDRNOTAVAIL, ConnectFailure::Machine)]
 #[case::no_route(Errno::NETUNREACH, ConnectFailure::Machine)]
 #[case::buffers(Errno::NOBUFS, ConnectFailure::Machine)]
-#[case::file_table(Errno::NFILE, ConnectFailure::Machine)]
-#[case::own_descriptors(Errno::MFILE, ConnectFailure::Machine)]
+#[case::system_file_table(Errno::NFILE, ConnectFailure::Machine)]
+#[case::process_file_descriptors(Errno::MFILE, ConnectFailure::Machine)]
 #[case::refused(Errno::CONNREFUSED, ConnectFailure::OtherSide)]
 #[case::timed_out(Errno::TIMEDOUT, ConnectFailure::OtherSide)]
 #[case::host_unreachable(Errno::HOSTUNREACH, ConnectFailure::OtherSide)]
@@ -41,7 +41,7 @@
 #[case::buffers(Errno::NOBUFS, TransferFailure::Machine)]
 #[case::memory(Errno::NOMEM, TransferFailure::Machine)]
 #[case::reset(Errno::CONNRESET, TransferFailure::Connection)]
-#[case::pipe(Errno::PIPE, TransferFailure::Connection)]
+#[case::broken_pipe(Errno::PIPE, TransferFailure::Connection)]
 #[case::timed_out(Errno::TIMEDOUT, TransferFailure::Connection)]
 #[case::host_unreachable(Errno::HOSTUNREACH, TransferFailure::Connection)]
 fn transfer_errors_are_classified(#[case] errno: Errno, #[case] expected: TransferFailure) {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The network side of the router: tower services over hyper.
+//! The network layer of the router: tower services over hyper.
 //!
-//! [`server`] faces clients, [`upstream`] faces workers, and [`discovery`] the discovery agent. A request
-//! passes from [`server`] to [`upstream`] only through an [`exchange`](crate::runtime::exchange). [`socket`]
-//! and [`failure`] are shared by all three.
+//! [`server`] serves clients, [`upstream`] connects to workers, and [`discovery`] to the discovery agent. A
+//! request passes from [`server`] to [`upstream`] only through an [`exchange`](crate::runtime::exchange).
+//! [`socket`] and [`failure`] are shared by all three.
 
 pub mod discovery;
 pub mod failure;
@@ -15,8 +15,8 @@
 /// A boxed future that is not `Send`.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Whether a client-supplied id is valid: 1 to 64 ASCII letters, digits and `-_.`, so that it needs no escaping in a
-/// path or a header.
+/// Whether a client-supplied id is valid: 1 to 64 ASCII letters, digits and `-_.`, so that it needs no
+/// escaping in a path or a header.
 pub fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -22,8 +22,8 @@
 
 /// hyper's buffer limit for one connection, which also limits the length of a request's head.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
-/// The delay before a close is reconsidered that was deferred because of unread bytes. By then the runtime
-/// has woken hyper to read them.
+/// The delay after which a close deferred because of unread bytes is reconsidered. Within this time the
+/// runtime wakes hyper to read them.
 const UNREAD_RECHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// The response to a request that was not received completely in time.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
@@ -86,12 +86,16 @@
             () = client.changed() => {}
             // Only while streaming: a client that disconnects before its response begins is still answered,
             // since it may have shut down only its sending side.
-            () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => return CloseReason::ClientDisconnected,
+            () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => {
+                return CloseReason::ClientDisconnected;
+            }
             () = sleep_until(wake_at) => {
                 // Polling hyper may have changed the deadline.
                 let due = close_deadline(&client.snapshot(is_closing));
                 let Some((_, reason)) = due.filter(|(at, _)| *at <= Instant::now()) else { continue };
-                if reason == CloseReason::WriteTimeout || may_close(client.phase(), client.has_unread_bytes()) {
+                if reason == CloseReason::WriteTimeout
+                    || may_close(client.phase(), client.has_unread_bytes())
+                {
                     return reason;
                 }
                 // The unread bytes begin a request that hyper has not been woken for yet: the connection is
--- a/src/net/server/framing/tests.rs
+++ b/src/net/server/framing/tests.rs
@@ -13,10 +13,18 @@
 #[case::length_then_coding("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", &[Ambiguous])]
 #[case::coding_then_length("transfer-encoding: chunked\nCONTENT-LENGTH: 3\n\n", &[Ambiguous])]
 #[case::chunked("Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n", &[Unambiguous])]
-#[case::after_a_chunked_request("Transfer-Encoding: chunked\r\n\r\nA;x=1\r\n0123456789\r\n0\r\nt: 1\r\n\r\nPOST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", &[Unambiguous, Ambiguous])]
+#[case::after_a_chunked_request(
+    "Transfer-Encoding: chunked\r\n\r\nA;x=1\r\n0123456789\r\n0\r\nt: 1\r\n\r\n\
+     POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+    &[Unambiguous, Ambiguous]
+)]
 #[case::other_coding("Transfer-Encoding: gzip, chunked\r\n\r\n", &[Ambiguous])]
 #[case::chunked_twice("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", &[Ambiguous])]
-#[case::in_the_second_request("Content-Length: 1\r\n\r\na\r\nPOST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", &[Unambiguous, Ambiguous])]
+#[case::in_the_second_request(
+    "Content-Length: 1\r\n\r\na\r\n\
+     POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+    &[Unambiguous, Ambiguous]
+)]
 fn ambiguous_framing_is_detected_wherever_the_bytes_are_split(
     #[case] rest: &str,
     #[case] expected: &[HeadFraming],
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,8 +1,9 @@
-//! Sockets that hyper reads and writes while their owner still has access to the stream.
+//! TCP sockets with shared ownership: hyper reads and writes a socket while the owner keeps access to the
+//! stream.
 //!
-//! Reads and writes follow the results of the system calls, not the readiness that the async runtime caches:
+//! Reads and writes rely on the results of system calls, not on the readiness that the async runtime caches:
 //! an interrupted call is repeated, a call that failed for lack of memory is repeated after a pause, and a
-//! short read is not taken as a sign that nothing more has arrived.
+//! short read does not imply that the receive buffer is empty.
 
 use super::failure::{ConnectFailure, TransferFailure, classify_connect_error, classify_transfer_error};
 use bytes::BufMut;
@@ -17,14 +18,15 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, Sleep};
 
-/// The pause before a call is repeated that failed for lack of a resource of this machine.
+/// The pause before a system call that failed for lack of a local resource is repeated.
 const LOCAL_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// The longest pause between two attempts to connect. Pauses double up to it, from [`LOCAL_RETRY_PAUSE`] on.
-const MAX_CONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// A connection that has lacked a resource of this machine for this long is given up.
+/// The maximum backoff between two attempts to connect or listen. The backoff starts at [`LOCAL_RETRY_PAUSE`]
+/// and doubles.
+const MAX_LOCAL_BACKOFF: Duration = Duration::from_millis(20);
+/// The time limit for a shortage of local resources, after which the connection fails.
 const LOCAL_SHORTAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Repeats a system call for as long as it is interrupted by signals.
+/// Repeats a system call while it is interrupted by signals.
 ///
 /// # Errors
 /// Any other error of the call.
@@ -37,43 +39,44 @@
     }
 }
 
-/// Listens with a queue for `backlog` connections that wait to be accepted.
+/// Listens with this backlog, the maximum number of connections that wait to be accepted.
 ///
-/// The runtime's own default is 128. Connections beyond it, in a burst or while the process was paused, were
-/// rejected by the kernel and came back with the client's retransmission a second later.
-/// Failures of this machine are retried with backoff until `deadline`.
+/// The runtime's default of 128 is too small: in a burst, or while the process is suspended, the kernel drops
+/// the connections above it, and the client retransmits a second later. Local failures are retried with
+/// backoff until `deadline`.
 ///
 /// # Errors
-/// The system can't listen on the address.
+/// The kernel cannot listen on the address.
 pub async fn listen(address: SocketAddr, backlog: usize, deadline: Instant) -> io::Result<TcpListener> {
     retry_local_failures(deadline, async || listen_once(address, backlog)).await
 }
 
 fn listen_once(address: SocketAddr, backlog: usize) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A restarted process must get its address back while connections of the previous one are in TIME_WAIT.
+    // A restarted process must be able to bind while connections of the previous one are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(u32::try_from(backlog).unwrap_or(u32::MAX))
 }
 
-/// Connects. Failures of this machine are retried with backoff until `deadline`; the deadline does not
-/// interrupt a connect that is in progress.
+/// Connects to `address`. Local failures are retried with backoff until `deadline`; the deadline does not
+/// interrupt a connect in progress.
 ///
-/// Dropping the future abandons the connect.
+/// Dropping the future aborts the connect.
 ///
 /// # Errors
-/// The peer's failure, or the last failure of this machine.
+/// A failure of the peer, or the last local failure.
 pub async fn connect(address: SocketAddr, deadline: Instant) -> io::Result<TcpStream> {
     retry_local_failures(deadline, async || TcpStream::connect(address).await).await
 }
 
-/// Calls `attempt` again, with backoff, for as long as it fails for this machine's sake and there is time.
+/// Repeats `attempt` with backoff until it succeeds, fails for a reason that is not local, or the deadline
+/// would pass.
 async fn retry_local_failures<T>(
     deadline: Instant,
     attempt: impl AsyncFn() -> io::Result<T>,
 ) -> io::Result<T> {
-    let mut pause = LOCAL_RETRY_PAUSE;
+    let mut backoff = LOCAL_RETRY_PAUSE;
     loop {
         let error = match attempt().await {
             Ok(value) => return Ok(value),
@@ -82,10 +85,10 @@
         match classify_connect_error(&error) {
             ConnectFailure::OtherSide => return Err(error),
             ConnectFailure::Interrupted => {}
-            ConnectFailure::Machine if Instant::now() + pause >= deadline => return Err(error),
+            ConnectFailure::Machine if Instant::now() + backoff >= deadline => return Err(error),
             ConnectFailure::Machine => {
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_CONNECT_PAUSE);
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_LOCAL_BACKOFF);
             }
         }
     }
@@ -93,18 +96,17 @@
 
 /// Observes the writes of a [`Socket`], and may prevent them.
 pub trait WriteMonitor {
-    /// Called directly before each write, in the same poll: no other task runs between this call and the
-    /// write.
+    /// Called before each write, in the same poll: no other task runs between this call and the write.
     ///
     /// # Errors
-    /// The write is not made, and fails with this error.
+    /// The write is prevented, and fails with this error.
     fn before_write(&self, stream: &TcpStream) -> io::Result<()>;
 
-    /// Called after a write of which the kernel has taken the first `written` bytes of `buffers`.
+    /// Called after a write; the kernel has accepted the first `written` bytes of `buffers`.
     fn after_write(&self, buffers: &[IoSlice<'_>], written: usize);
 }
 
-/// The monitor of a socket whose writes are not observed.
+/// A monitor that does nothing.
 pub struct Unmonitored;
 
 impl WriteMonitor for Unmonitored {
@@ -115,7 +117,7 @@
     fn after_write(&self, _: &[IoSlice<'_>], _: usize) {}
 }
 
-/// One of several owners of a TCP stream, which is closed when the last of them is dropped.
+/// One of the owners of a shared TCP stream, which closes when its last owner is dropped.
 pub struct Socket<M = Unmonitored> {
     stream: Rc<TcpStream>,
     monitor: M,
@@ -123,14 +125,14 @@
 }
 
 impl Socket {
-    /// An owner of this stream whose writes are not observed.
+    /// Creates an owner of this stream whose writes are not monitored.
     pub fn new(stream: Rc<TcpStream>) -> Self {
         Socket::with_monitor(stream, Unmonitored)
     }
 }
 
 impl<M> Socket<M> {
-    /// An owner of this stream whose writes pass through `monitor`.
+    /// Creates an owner of this stream whose writes are reported to `monitor`.
     pub fn with_monitor(stream: Rc<TcpStream>, monitor: M) -> Self {
         Socket { stream, monitor, shortage: LocalShortage::default() }
     }
@@ -138,12 +140,12 @@
     /// Shuts down the sending side.
     ///
     /// # Errors
-    /// The system call failed: the connection is closed already.
+    /// The system call failed because the connection is already closed.
     pub fn shutdown_write(&self) -> io::Result<()> {
         SockRef::from(&*self.stream).shutdown(Shutdown::Write)
     }
 
-    /// Repeats a call until it succeeds or the connection can't be used any more.
+    /// Repeats a system call until it succeeds, the connection has failed or a local shortage lasts too long.
     fn poll_transfer<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Reads what has arrived, up to `limit` bytes.
+    /// Reads received bytes, up to `limit`.
     pub fn poll_read_up_to(
         &mut self,
         cx: &mut Context<'_>,
@@ -183,7 +185,7 @@
     }
 }
 
-/// How long this machine has lacked a resource for a connection, and the pause before the next call.
+/// A shortage of local resources that affects a connection, and the pause before the next system call.
 #[derive(Default)]
 struct LocalShortage {
     since: Option<Instant>,
@@ -191,18 +193,17 @@
 }
 
 impl LocalShortage {
-    /// How long the shortage has lasted. It begins with the first call of this method after
-    /// [`end`](Self::end).
+    /// The duration of the shortage. It begins with the first call of this method after [`end`](Self::end).
     fn duration(&mut self) -> Duration {
         self.since.get_or_insert_with(Instant::now).elapsed()
     }
 
-    /// Begins the pause before the next call.
+    /// Begins the pause before the next system call.
     fn begin_pause(&mut self) {
         self.pause = Some(Box::pin(tokio::time::sleep(LOCAL_RETRY_PAUSE)));
     }
 
-    /// Waits for the end of the pause, if there is one.
+    /// Ready when no pause is in progress.
     fn poll_pause(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if let Some(pause) = &mut self.pause {
             ready!(pause.as_mut().poll(cx));
@@ -211,7 +212,7 @@
         Poll::Ready(())
     }
 
-    /// A call has succeeded: the shortage is over.
+    /// Ends the shortage after a successful system call.
     fn end(&mut self) {
         self.since = None;
     }
