--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,5 @@
-//! The life of a client connection: every request that is read is answered, and one that cannot be answered is not read.
+//! The life cycle of client connections: every request that is read is answered, and a request that cannot be
+//! answered is not read.
 
 mod support;
 
@@ -33,8 +34,8 @@
     assert!(client.read(&mut [0; 256]).await.unwrap() > 0);
 }
 
-/// Guards against a request that is read after its connection was closed, and then dropped: its client may only retry
-/// what was not read. The reset tells it that nothing was.
+/// Guards against a request that is read after the router has shut down its sending side, and then dropped:
+/// the client may safely retry only an unread request. The reset shows that it was not read.
 #[rstest]
 #[case::shutdown(CloseCause::Shutdown)]
 #[case::eviction(CloseCause::Eviction)]
@@ -44,30 +45,30 @@
         let server = Server::start_with(Options { max_connections: 1, ..Options::default() }).await.run();
         let mut client = server.connect().await;
         check_health(&mut client).await;
-        let mut other = None;
+        let mut new_connection = None;
         match cause {
             CloseCause::Shutdown => server.shutdown.send(ShutdownPhase::Closing).unwrap(),
             CloseCause::Eviction => {
-                // Idle for long enough to be evicted early.
+                // Exceeds the minimum idle time before graceful eviction.
                 tokio::time::sleep(Duration::from_millis(60)).await;
                 let mut new_client = server.connect().await;
                 check_health(&mut new_client).await;
-                other = Some(new_client);
+                new_connection = Some(new_client);
             }
         }
         assert_eq!(client.read(&mut [0]).await.unwrap(), 0);
         client.write_all(request("id-1", "send", "hello").as_bytes()).await.unwrap();
-        drop(other);
+        drop(new_connection);
         server.all_closed().await;
         assert!(was_reset(&client), "the request was read");
     })
     .await;
 }
 
-/// Guards against a request that is read together with the one before it, whose response is the connection's last, and
-/// against a reset that overtakes this response.
+/// Guards against reading a pipelined request together with the one before it, whose response is the
+/// connection's last, and against a reset that discards this response before the client has read it.
 #[tokio::test(start_paused = true)]
-async fn a_request_behind_the_last_response_of_a_connection_is_not_read() {
+async fn a_request_pipelined_after_the_last_one_of_a_connection_is_not_read() {
     on_one_thread(async {
         let server = Server::start_with(Options { max_connections: 0, ..Options::default() }).await.run();
         let mut client = server.connect().await;
@@ -83,16 +84,16 @@
     .await;
 }
 
-/// Guards against a request that is read and never answered, because what follows it cannot be parsed.
+/// Guards against a request that is read and never answered because the bytes after it cannot be parsed.
 #[tokio::test(start_paused = true)]
-async fn a_request_followed_by_bytes_that_are_no_request_is_answered() {
+async fn a_request_followed_by_malformed_bytes_is_answered() {
     on_one_thread(async {
         let mut server = Server::start().await.run();
         let mut client = server.connect().await;
         client.write_all(request("id-1", "send", "hello").as_bytes()).await.unwrap();
         let submitted = server.next_request().await;
         client.write_all(b"GARBAGE\r\n\r\n").await.unwrap();
-        // The server has enough time to read what was sent.
+        // Leaves the server enough time to read the bytes sent.
         tokio::time::sleep(Duration::from_millis(50)).await;
         submitted.responder.reject(None);
         let mut responses = String::new();
@@ -103,8 +104,8 @@
     .await;
 }
 
-/// Guards against a client that shuts down its sending side after its request and gets no response. It cannot be told
-/// from one that has disconnected, so no attempt is started for it any more.
+/// Guards against a client that shuts down its sending side after its request and gets no response. It cannot
+/// be distinguished from one that has disconnected, so no attempt is started for it.
 #[tokio::test]
 async fn a_client_that_shuts_down_its_sending_side_after_a_request_gets_a_final_response() {
     on_one_thread(async {
@@ -114,7 +115,7 @@
         let submitted = server.next_request().await;
         client.shutdown(Shutdown::Write).unwrap();
         assert_eq!(server.next_disconnected().await, submitted.spec.request);
-        // As the driver does.
+        // The driver, too, drops the request of a disconnected client.
         drop(submitted);
         server.all_closed().await;
         let response = read_to_close(&mut client);
@@ -123,21 +124,22 @@
     .await;
 }
 
-/// What the client sends between its request and its close.
+/// Guards against forwarding a request after its client has closed the connection: the check queries the
+/// kernel, whether or not unread bytes precede the close.
 #[rstest]
 #[case::nothing("")]
-#[case::part_of_a_further_request("POST /v1/chat")]
+#[case::part_of_another_request("POST /v1/chat")]
 #[tokio::test]
-async fn a_close_is_detected_as_soon_as_the_system_knows_of_it(#[case] following: &str) {
+async fn a_close_is_detected_without_waiting_for_the_runtime(#[case] sent_before_close: &str) {
     on_one_thread(async {
-        // No memory to read anything ahead.
+        // The memory budget leaves no room to read the next request ahead.
         let mut server = Server::start_with(Options { body_memory: 16, ..Options::default() }).await.run();
         let mut client = blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
         assert!(!submitted.forwarded.client.has_left());
-        // Without a pause: the runtime does not run between the close and the check.
-        client.write_all(following.as_bytes()).unwrap();
+        // There is no await between the close and the check, so the runtime does not run.
+        client.write_all(sent_before_close.as_bytes()).unwrap();
         drop(client);
         assert!(submitted.forwarded.client.has_left(), "the close was not detected");
         assert_eq!(server.next_disconnected().await, submitted.spec.request);
@@ -145,8 +147,9 @@
     .await;
 }
 
-/// Guards against new clients that wait unanswered at the connection limit: clients that send nothing, or half a
-/// request, or stay after their response hold every connection and the whole reserve.
+/// Guards against new clients that get no response at the connection limit while other clients occupy all
+/// slots, including the reserve: clients that send nothing or half a request, or stay connected after a
+/// response.
 #[rstest]
 #[case::silent(b"")]
 #[case::half_a_request(b"POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n")]
@@ -174,9 +177,10 @@
     .await;
 }
 
-/// Guards against a deadline that starts when a request is read: its client has waited since it sent the request.
+/// Guards against a deadline that starts when a pipelined request is read: the client has been waiting since
+/// it sent the request.
 #[tokio::test(start_paused = true)]
-async fn a_pipelined_request_has_only_the_rest_of_its_deadline() {
+async fn the_deadline_of_a_pipelined_request_includes_its_wait() {
     on_one_thread(async {
         let mut server = Server::start().await.run();
         let mut client = server.connect().await;
@@ -188,31 +192,31 @@
         first.responder.reject(None);
         let second = server.next_request().await;
         assert!(sent_at.elapsed() >= Duration::from_secs(3));
-        // Both have a deadline of eight seconds, and were sent at almost the same time.
-        let later = second.spec.deadline - first_deadline;
-        assert!(later <= 150_000, "{later} us later than its client's deadline");
+        // Both have a deadline of eight seconds and were sent at almost the same time.
+        let difference_us = second.spec.deadline - first_deadline;
+        assert!(difference_us <= 150_000, "{difference_us} us later than the client's deadline");
     })
     .await;
 }
 
-/// Guards against a client that is reset while it still sends the body of a request that has been rejected: it would
-/// never read the rejection. The rest of that body is read, and nothing behind it.
+/// Guards against resetting a client that still sends the body of a rejected request: it would never read the
+/// rejection. The rest of that body is read, and nothing after it.
 #[tokio::test]
-async fn a_client_that_reads_only_after_sending_its_whole_body_gets_its_rejection() {
+async fn a_client_that_reads_only_after_sending_its_whole_body_receives_the_rejection() {
     on_one_thread(async {
         let server = Server::start_with(Options { max_connections: 0, ..Options::default() }).await.run();
         let mut client = blocking(server.connect().await);
-        // The client's system must not be able to buffer all of it.
+        // The client's send buffer must not hold the whole body.
         socket2::SockRef::from(&client).set_send_buffer_size(4 * 1024).unwrap();
         let body = "x".repeat(256 * 1024);
-        let (report, response) = tokio::sync::oneshot::channel();
+        let (result_sender, result) = tokio::sync::oneshot::channel();
         std::thread::spawn(move || {
             let sent = client.write_all(request("id-1", "send", &body).as_bytes()).is_ok();
             let second_sent = client.write_all(request("id-2", "send", "hello").as_bytes()).is_ok();
             let response = read_to_close(&mut client);
-            let _ = report.send((sent && second_sent, response, client));
+            let _ = result_sender.send((sent && second_sent, response, client));
         });
-        let (sent, response, client) = response.await.unwrap();
+        let (sent, response, client) = result.await.unwrap();
         assert!(sent && response.starts_with("HTTP/1.1 503"), "{response}");
         server.all_closed().await;
         let error = client.take_error().unwrap();
@@ -221,7 +225,8 @@
     .await;
 }
 
-/// Guards against polling without end: an active request whose client stays connected costs nothing until bytes arrive.
+/// Guards against a busy loop in the detection of disconnects: while the client stays connected and sends
+/// nothing, the future is not woken.
 #[tokio::test(start_paused = true)]
 async fn a_connected_and_silent_client_is_not_polled_repeatedly() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -244,18 +249,18 @@
     socket.disconnected().await;
 }
 
-/// A connection whose client has sent nothing since its accept is told from one that is idle after a response, by its
-/// timeout and in the log.
+/// A connection without a byte since its accept and one that is idle after a response have different timeouts
+/// and close reasons.
 #[rstest]
 #[case::silent(false, Duration::from_millis(2_200), CloseReason::Silent)]
 #[case::idle(true, Duration::from_secs(30), CloseReason::Idle)]
-fn a_silent_connection_is_closed_for_another_reason_than_an_idle_one(
+fn silent_and_idle_connections_have_different_timeouts_and_close_reasons(
     #[case] has_answered: bool,
     #[case] timeout: Duration,
     #[case] reason: CloseReason,
 ) {
     let now = Instant::now();
-    let facts = ConnectionSnapshot {
+    let snapshot = ConnectionSnapshot {
         phase: ConnectionPhase::Idle(now),
         accepted_at: now,
         has_answered,
@@ -263,10 +268,10 @@
         eviction: Eviction::None,
         is_closing_phase: false,
     };
-    assert_eq!(close_deadline(&facts), Some((now + timeout, reason)));
+    assert_eq!(close_deadline(&snapshot), Some((now + timeout, reason)));
 }
 
-/// What a client does before its connection ends.
+/// The behaviour of a client before its connection ends.
 #[derive(Clone, Copy)]
 enum ClientAction {
     CloseAfterResponse,
@@ -275,13 +280,14 @@
     SendNothing,
 }
 
-/// Guards against log lines in which every close but a malformed request's reads like the end of a response.
+/// Guards against log lines in which every close except that of a malformed request looks like a completed
+/// one.
 #[rstest]
 #[case::between_requests(ClientAction::CloseAfterResponse, "completed")]
 #[case::within_a_head(ClientAction::CloseWithinHead, "connection error")]
-#[case::in_a_stream_that_its_worker_breaks(ClientAction::ReceiveBrokenStream, "stream broken")]
+#[case::in_a_stream_broken_by_the_worker(ClientAction::ReceiveBrokenStream, "stream broken")]
 #[case::without_a_byte(ClientAction::SendNothing, "silent")]
-fn the_log_says_why_a_connection_ends(#[case] action: ClientAction, #[case] reason: &str) {
+fn the_log_states_the_close_reason_of_a_connection(#[case] action: ClientAction, #[case] reason: &str) {
     let decode = Peer::start(|_, conn| {
         conn.begin_stream();
         conn.delta("one");
