--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -136,8 +136,8 @@
 
     /// Accepts the connections that wait in the listen backlog, and then closes the listener.
     async fn drain_backlog(&self, listener: TcpListener, limited: &LimitedHandler<H>) {
-        // The blocking API bypasses the runtime's cached readiness, which may not yet include the connections
-        // that arrived last.
+        // The standard library's listener bypasses the runtime's cached readiness, which may not include the
+        // connections that arrived last.
         let Ok(listener) = listener.into_std() else { return };
         let accept = || {
             let (stream, _) = listener.accept()?;
@@ -193,8 +193,8 @@
         });
     }
 
-    /// Evicts an idle or slow connection when more than three quarters of `max_connections` are open: clients
-    /// that never close their connections would otherwise leave no capacity for a burst.
+    /// Evicts an idle, closing or slow connection when more than three quarters of `max_connections` are
+    /// open: clients that never close their connections would otherwise leave no capacity for a burst.
     fn evict_near_limit(&self) -> EvictionResult {
         if self.connections.count() <= self.max_connections * 3 / 4 {
             return EvictionResult::NotNeeded;
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -13,7 +13,7 @@
 /// The minimum idle time before graceful eviction. It leaves a client that has just connected time to send
 /// its request.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// The minimum time a request may take to be received before its connection is gracefully evicted.
+/// The minimum time since the first byte of an incomplete request before graceful eviction.
 const MIN_RECEIVE_BEFORE_EVICTION: Duration = Duration::from_millis(400);
 
 /// The registry of open client connections.
@@ -27,7 +27,7 @@
 /// The result of an attempt to evict a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionResult {
-    /// A connection was told to close. If it receives a request before it closes, it answers that first.
+    /// A connection was evicted. If it receives a request before it closes, it answers that first.
     Requested,
     /// No connection may be evicted.
     NoCandidate,
@@ -117,7 +117,7 @@
         };
         client.evict(eviction);
         let urgency = if eviction == Eviction::Immediate { "immediately" } else { "gracefully" };
-        log::debug!("connection {}: evicted {urgency}, {} open", client.number(), open.len());
+        log::debug!("connection {}: evicting {urgency}, {} open", client.number(), open.len());
         counters.connections_evicted.increment();
         EvictionResult::Requested
     }
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -246,7 +246,8 @@
 }
 
 /// Guards against slow clients that occupy connections forever: a request that is not received completely in
-/// time is answered with a 408, even if the client keeps sending single bytes.
+/// time is answered with a 408, even if the client keeps sending single bytes. A connection without a byte is
+/// closed without a response.
 #[rstest]
 #[case::nothing("", 0)]
 #[case::half_a_head("POST /v1/chat/completions HTTP/1.1\r\nhost:", 408)]
@@ -260,10 +261,7 @@
      x-deadline: 1000m\r\ntransfer-encoding: chunked\r\n\r\nfff\r\n",
     408
 )]
-fn a_request_not_received_in_time_is_answered_with_408_despite_progress(
-    #[case] bytes: &str,
-    #[case] status: u16,
-) {
+fn a_request_not_received_in_time_times_out_despite_progress(#[case] bytes: &str, #[case] status: u16) {
     let (peer, messages) = recording_peer(|_, _| false);
     let router = RouterProcess::start(&operator_file(&[peer.address], &[peer.address], ""));
     let mut client = router.connect();
