--- a/src/net/discovery/connector.rs
+++ b/src/net/discovery/connector.rs
@@ -1,7 +1,7 @@
 //! Connectors that open the byte streams to discovery.
 
 use super::mode::LOCAL_CALL_TIMEOUT;
-use crate::net::Local;
+use crate::net::LocalBoxFuture;
 use crate::net::socket::{Socket, connect};
 use std::io;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> DiscoveryStream for T {}
 
 /// Opens a connection to discovery at an address. Dropping the future cancels the attempt.
-pub type Connector = Rc<dyn Fn(SocketAddr) -> Local<io::Result<Box<dyn DiscoveryStream>>>>;
+pub type Connector = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<io::Result<Box<dyn DiscoveryStream>>>>;
 
 /// Returns a connector that uses TCP.
 pub fn tcp_connector() -> Connector {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! The network side of the router: tower services over hyper.
+//! The network layer of the router: tower services over hyper.
 //!
-//! [`server`] faces clients, [`upstream`] faces workers, and [`discovery`] the discovery agent. A request
-//! passes from [`server`] to [`upstream`] only through an [`exchange`](crate::runtime::exchange). [`socket`]
-//! and [`failure`] are shared by all three.
+//! [`server`] serves clients, [`upstream`] connects to workers, and [`discovery`] to the discovery agent. A
+//! request passes from [`server`] to [`upstream`] only through an [`exchange`](crate::runtime::exchange).
+//! [`socket`] and [`failure`] are shared by all three.
 
 pub mod discovery;
 pub mod failure;
@@ -12,10 +12,11 @@
 
 use std::pin::Pin;
 
-/// A boxed future that stays on the thread that made it.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+/// A boxed future that is not `Send`.
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Whether a request id may stand in a path and in a header without escaping.
-pub fn is_plain_id(id: &str) -> bool {
+/// Whether a client-supplied id is valid: 1 to 64 ASCII letters, digits and `-_.`, so that it needs no
+/// escaping in a path or a header.
+pub fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && id.len() <= 64 && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
 }
