--- a/src/net/upstream/slot.rs
+++ b/src/net/upstream/slot.rs
@@ -33,7 +33,7 @@
         let Ok(UnaryResponse { status, .. }) = client.call(call).await else { return };
         if let StatusCode::OK | StatusCode::CONFLICT = status {
             let reserved = status == StatusCode::OK;
-            client.driver.submit(DriverInput::SlotReserved { request, worker, reserved });
+            client.driver.submit(DriverInput::SlotReservationAnswered { request, worker, reserved });
         }
     });
 }
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -30,7 +30,7 @@
                 self.counters.endpoint_updates.increment();
                 self.notify_policy(Event::EndpointsUpdated { kind, endpoints });
             }
-            DriverInput::SlotReserved { request, worker, reserved } => {
+            DriverInput::SlotReservationAnswered { request, worker, reserved } => {
                 if self.requests.contains(request) {
                     self.notify_policy(Event::SlotReservationAnswered { request, worker, reserved });
                 }
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -68,7 +68,7 @@
         endpoints: Vec<Endpoint>,
     },
     /// A decode worker has answered a reservation.
-    SlotReserved {
+    SlotReservationAnswered {
         /// The request.
         request: RequestId,
         /// The worker.
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -93,7 +93,7 @@
     /// stopped.
     fn release_cache(&self, forwarded: Rc<ForwardedRequest>, progress: Rc<ReleaseProgress>);
     /// Asks a decode worker to reserve a slot. Answered by
-    /// [`DriverInput::SlotReserved`](super::DriverInput::SlotReserved) if the worker responds.
+    /// [`DriverInput::SlotReservationAnswered`](super::DriverInput::SlotReservationAnswered) if the worker responds.
     fn reserve_slot(&self, request: RequestId, forwarded: Rc<ForwardedRequest>, worker: WorkerId);
     /// Checks a worker's health. Answered by
     /// [`DriverInput::HealthChecked`](super::DriverInput::HealthChecked).
