--- a/src/net/upstream/write_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -39,7 +39,7 @@
     fn check(&self, now: Micros) -> Result<(), WithholdReason> {
         check_write(&AttemptSnapshot {
             is_request_open: self.state.is_open(),
-            client_disconnected: self.client.has_left(),
+            client_disconnected: self.client.is_closed(),
             now,
             deadline: self.deadline,
             deduplication_deadline: self.deduplication_deadline,
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -31,14 +31,14 @@
 pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
 
 impl ClientConnection {
-    /// A connection of which `has_left` says whether the client has closed it.
-    pub fn new(has_left: Rc<dyn Fn() -> bool>) -> Self {
-        ClientConnection(Some(has_left))
+    /// A connection of which `is_closed` says whether the client has closed it.
+    pub fn new(is_closed: Rc<dyn Fn() -> bool>) -> Self {
+        ClientConnection(Some(is_closed))
     }
 
     /// Whether the client has closed the connection by now.
-    pub fn has_left(&self) -> bool {
-        self.0.as_ref().is_some_and(|has_left| has_left())
+    pub fn is_closed(&self) -> bool {
+        self.0.as_ref().is_some_and(|is_closed| is_closed())
     }
 }
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -135,11 +135,11 @@
         let mut client = blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
-        assert!(!submitted.forwarded.client.has_left());
+        assert!(!submitted.forwarded.client.is_closed());
         // Without a pause: the runtime does not run between the close and the check.
         client.write_all(following.as_bytes()).unwrap();
         drop(client);
-        assert!(submitted.forwarded.client.has_left(), "the close was not detected");
+        assert!(submitted.forwarded.client.is_closed(), "the close was not detected");
         assert_eq!(server.next_disconnected().await, submitted.spec.request);
     })
     .await;
