--- a/src/net/upstream/completion.rs
+++ b/src/net/upstream/completion.rs
@@ -27,7 +27,7 @@
 impl AttemptCompletion {
     /// The completion of an attempt that begins now.
     pub fn new(driver: DriverHandle, attempt: &Attempt) -> Self {
-        AttemptCompletion { driver, request: attempt.request, attempt: attempt.attempt, result: None }
+        AttemptCompletion { driver, request: attempt.request, attempt: attempt.index, result: None }
     }
 
     /// Reports this result.
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -53,7 +53,7 @@
 ) -> Result<CompletedStream, Outcome> {
     let OpenedStream { first_event, events, content_type, has_marked_end } = stream;
     let (sender, response) = response_stream(content_type);
-    let (request, index) = (attempt.request, attempt.attempt);
+    let (request, index) = (attempt.request, attempt.index);
     client.driver.submit(DriverInput::StreamStarted { request, attempt: index, stream: response });
     let mut relay = StreamRelay {
         client,
--- a/src/net/upstream/write_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -27,7 +27,7 @@
 impl AttemptGuard {
     fn new(attempt: &Attempt, directory: &Rc<Directory>) -> Self {
         AttemptGuard {
-            state: attempt.state.clone(),
+            state: attempt.request_state.clone(),
             client: attempt.forwarded.client.clone(),
             deadline: attempt.deadline,
             deduplication_deadline: attempt.deduplication_deadline,
@@ -61,8 +61,9 @@
     /// several parts. A worker begins with the last byte, so a request may be withheld until then.
     pub(super) fn write_guard(&self, attempt: &Attempt) -> WriteGuard {
         let guard = AttemptGuard::new(attempt, &self.directory);
-        let (clock, counters, begun) = (self.driver.clock, self.counters.clone(), attempt.begun.clone());
-        let (request, index) = (attempt.forwarded.id.clone(), attempt.attempt);
+        let (clock, counters, begun) =
+            (self.driver.clock, self.counters.clone(), attempt.write_started.clone());
+        let (request, index) = (attempt.forwarded.id.clone(), attempt.index);
         Box::new(move || {
             guard.check(clock.now()).map_err(|withheld| {
                 log::debug!("request {request}: attempt {} is withheld: {withheld}", index.0);
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -38,7 +38,7 @@
     /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
     /// Set by the upstream client before it writes the first byte.
-    begun: Rc<Cell<bool>>,
+    write_started: Rc<Cell<bool>>,
     is_streaming: bool,
 }
 
@@ -159,7 +159,10 @@
     /// Takes the responder, which gives the final answer; `None` if the request has its final answer already.
     pub fn take_responder(&mut self) -> Option<Responder> {
         let responder = self.responder.take()?;
-        self.attempts.iter_mut().filter(|attempt| !attempt.begun.get()).for_each(AttemptRecord::cancel);
+        self.attempts
+            .iter_mut()
+            .filter(|attempt| !attempt.write_started.get())
+            .for_each(AttemptRecord::cancel);
         Some(responder)
     }
 
@@ -180,21 +183,21 @@
             self.previous_outcome_note()
         );
         let (cancel, cancelled) = oneshot::channel();
-        let begun = Rc::<Cell<bool>>::default();
+        let write_started = Rc::<Cell<bool>>::default();
         self.attempts.push(AttemptRecord {
             sent_at: now,
             worker: worker.clone(),
             stage,
             cancel: Some(cancel),
             outcome: None,
-            begun: begun.clone(),
+            write_started: write_started.clone(),
             is_streaming: false,
         });
         self.held_cache.attempt_sent();
         Attempt {
             request: self.number,
-            state: self.state.clone(),
-            attempt: index,
+            request_state: self.state.clone(),
+            index,
             worker,
             stage,
             forwarded: self.forwarded.clone(),
@@ -202,7 +205,7 @@
             deduplication_deadline,
             pending_release: self.release.take(),
             cancelled,
-            begun,
+            write_started,
         }
     }
 
@@ -224,7 +227,7 @@
     pub fn start_stream(&mut self, index: AttemptIndex) -> Option<AnswerHandover> {
         let is_answered = self.is_answered();
         let attempt = self.attempts.get_mut(index.0 as usize)?;
-        attempt.begun.set(true);
+        attempt.write_started.set(true);
         if is_answered {
             return None;
         }
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -11,9 +11,9 @@
     /// The request.
     pub request: RequestId,
     /// Whether the request still waits for its final answer: otherwise nothing may begin for it.
-    pub state: RequestState,
+    pub request_state: RequestState,
     /// The attempt's index.
-    pub attempt: AttemptIndex,
+    pub index: AttemptIndex,
     /// The worker that it goes to.
     pub worker: WorkerId,
     /// What the worker is to do. Only a decode is answered by a stream.
@@ -30,7 +30,7 @@
     /// Resolves, with a value or because its sender was dropped, when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
     /// To be set before anything of the request is written.
-    pub begun: Rc<Cell<bool>>,
+    pub write_started: Rc<Cell<bool>>,
 }
 
 /// The progress of a release, shared by the driver, the release and an attempt that waits for it.
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -55,7 +55,7 @@
         attempt.forwarded =
             Rc::new(ForwardedRequest { body: worker.body.clone(), ..forwarded_request("id-1") });
         attempt.deadline = upstream.now() + timeout.unwrap_or(10 * SECOND);
-        let begun = attempt.begun.clone();
+        let begun = attempt.write_started.clone();
         upstream.client.send(attempt);
         for _ in 0..MANY_TURNS {
             if begun.get() {
@@ -129,7 +129,7 @@
         let full = FullQueue::start();
         let mut upstream = UpstreamHarness::start(&[(WORKER, full.address)], 1);
         let attempt = upstream.attempt(WORKER, "id-1");
-        let begun: Rc<Cell<bool>> = attempt.begun.clone();
+        let begun: Rc<Cell<bool>> = attempt.write_started.clone();
         upstream.client.send(attempt);
         while upstream.client.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -188,7 +188,7 @@
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
         for id in ["id-1", "id-2"] {
             let attempt = upstream.attempt(WORKER, id);
-            let begun = attempt.begun.clone();
+            let begun = attempt.write_started.clone();
             upstream.client.send(attempt);
             while !begun.get() {
                 tokio::task::yield_now().await;
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -74,8 +74,8 @@
         self.cancel = Some(cancel);
         Attempt {
             request: RequestId(1),
-            state: RequestState::default(),
-            attempt: AttemptIndex(0),
+            request_state: RequestState::default(),
+            index: AttemptIndex(0),
             worker: WorkerId(worker.into()),
             stage: Stage::Prefill,
             forwarded: Rc::new(forwarded_request(id)),
@@ -83,7 +83,7 @@
             deduplication_deadline: None,
             pending_release: None,
             cancelled,
-            begun: Rc::default(),
+            write_started: Rc::default(),
         }
     }
 
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -16,15 +16,15 @@
 #[case::that_has_not_begun_is_cancelled(false, TryRecvError::Closed)]
 #[case::that_has_begun_goes_on(true, TryRecvError::Empty)]
 #[tokio::test]
-async fn when_the_client_disconnects_an_attempt(#[case] begun: bool, #[case] expected: TryRecvError) {
+async fn when_the_client_disconnects_an_attempt(#[case] write_started: bool, #[case] expected: TryRecvError) {
     let scenario = async {
         let driver = DriverHarness::start(settings(), 600_000_000).await;
         let DriverHarness { upstream, client, handle: _handle } = driver;
-        upstream.attempts.borrow()[0].begun.set(begun);
+        upstream.attempts.borrow()[0].write_started.set(write_started);
         drop(client);
         run_pending_tasks().await;
         assert_eq!(upstream.attempts.borrow_mut()[0].cancelled.try_recv(), Err(expected));
-        assert!(!upstream.attempts.borrow()[0].state.is_open());
+        assert!(!upstream.attempts.borrow()[0].request_state.is_open());
         assert_eq!(upstream.attempts.borrow().len(), 1);
     };
     tokio::task::LocalSet::new().run_until(scenario).await;
@@ -40,7 +40,7 @@
     let scenario = async {
         let driver = DriverHarness::start(Settings { answer_grace, ..settings() }, 1_000_000).await;
         assert_eq!(driver.cancelled(), TryRecvError::Empty);
-        let state = driver.upstream.attempts.borrow()[0].state.clone();
+        let state = driver.upstream.attempts.borrow()[0].request_state.clone();
         assert!(state.is_open());
         let DriverHarness { upstream, client, handle: _handle } = driver;
         assert!(matches!(client.answer().await.0, FinalResponse::Rejected { .. }));
