--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -67,10 +67,10 @@
             // A cancelled attempt ends here, whatever the release has come to.
             biased;
             _ = &mut self.attempt.cancelled => return Err(Outcome::Cancelled),
-            () = release.done() => {}
+            () = release.completed() => {}
             () = tokio::time::sleep(RELEASE_WAIT) => {}
         }
-        release.stop();
+        release.cancel();
         Ok(())
     }
 
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -43,7 +43,7 @@
         // A stopped release must not write anything more, so the stop is looked at before each step of the
         // release.
         biased;
-        () = progress.stopped() => {}
+        () = progress.cancelled() => {}
         () = release.run() => {}
     }
 }
@@ -93,7 +93,7 @@
             let Ok(call) = UnaryCall::new(worker, Method::DELETE, &path) else { return };
             self.start(call);
             if let Acknowledgement::Received = self.wait_before_next_call().await {
-                return self.progress.set_done();
+                return self.progress.complete();
             }
         }
         self.finish().await;
@@ -146,7 +146,7 @@
         // With this sender gone, the channel closes when the last call has ended.
         drop(self.acknowledge);
         if self.acknowledged.recv().await.is_some() {
-            self.progress.set_done();
+            self.progress.complete();
         } else {
             self.client.counters.cache_releases_failed.increment();
             log::warn!("request {}: no worker acknowledged the release of its cache", self.request.id);
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -236,7 +236,7 @@
         self.held_cache.clear();
         let responder = self.take_responder()?;
         if let Some(release) = self.release.take() {
-            release.stop();
+            release.cancel();
         }
         Some(AnswerHandover { responder, sent_at })
     }
@@ -283,7 +283,7 @@
 
     /// Starts a release of the KV cache, which the next attempt waits for.
     pub fn start_release(&mut self) -> Rc<ReleaseProgress> {
-        let release = Rc::new(ReleaseProgress::of(self.held_cache.holder()));
+        let release = Rc::new(ReleaseProgress::new(self.held_cache.holder()));
         self.release = Some(release.clone());
         release
     }
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -37,14 +37,14 @@
 #[derive(Default)]
 pub struct ReleaseProgress {
     holder: Option<WorkerId>,
-    stopped: Cell<bool>,
-    done: Cell<bool>,
+    cancelled: Cell<bool>,
+    completed: Cell<bool>,
     changed: Notify,
 }
 
 impl ReleaseProgress {
     /// The progress of a release of what a worker holds, or held last. That worker is asked first.
-    pub fn of(holder: Option<&WorkerId>) -> Self {
+    pub fn new(holder: Option<&WorkerId>) -> Self {
         ReleaseProgress { holder: holder.cloned(), ..ReleaseProgress::default() }
     }
 
@@ -54,25 +54,25 @@
     }
 
     /// Stops the release: from now on it could release what a later attempt has left.
-    pub fn stop(&self) {
-        self.stopped.set(true);
+    pub fn cancel(&self) {
+        self.cancelled.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Waits until the release is stopped. Cancel safe.
-    pub async fn stopped(&self) {
-        self.wait_for(&self.stopped).await;
+    /// Waits until the release is cancelled. Cancel safe.
+    pub async fn cancelled(&self) {
+        self.wait_for(&self.cancelled).await;
     }
 
     /// Records that a worker has executed the release.
-    pub fn set_done(&self) {
-        self.done.set(true);
+    pub fn complete(&self) {
+        self.completed.set(true);
         self.changed.notify_waiters();
     }
 
     /// Waits until a worker has executed the release. Cancel safe.
-    pub async fn done(&self) {
-        self.wait_for(&self.done).await;
+    pub async fn completed(&self) {
+        self.wait_for(&self.completed).await;
     }
 
     /// On one thread nothing changes between the look at the flag and the registration of the waiter.
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -111,7 +111,7 @@
         while upstream.client.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        release.stop();
+        release.cancel();
         // All tasks share this thread and wait for nothing else: by then those that were to end have ended.
         for _ in 0..100 {
             tokio::task::yield_now().await;
