--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -93,7 +93,7 @@
             forwarded,
             deadline,
             idempotency,
-            state: responder.request(),
+            state: responder.request_state(),
             responder: Some(responder),
             attempts: Vec::new(),
             held_cache: HeldCache::default(),
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -61,7 +61,7 @@
             spec.prompt_tokens
         );
         let waited = now.saturating_sub(received_at);
-        if !responder.request().is_open() || waited > LATE || self.lag.is_behind(now) {
+        if !responder.request_state().is_open() || waited > LATE || self.lag.is_behind(now) {
             return self.shed(&forwarded.id, waited, responder);
         }
         let class = self.settings.classes.iter().find(|class| class.name == spec.class);
--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -33,13 +33,13 @@
 #[derive(Debug)]
 pub struct Responder {
     response: Option<oneshot::Sender<FinalResponse>>,
-    request: RequestState,
+    request_state: RequestState,
 }
 
 impl Responder {
     /// Whether the request still waits for its final answer, also after this responder is gone.
-    pub fn request(&self) -> RequestState {
-        self.request.clone()
+    pub fn request_state(&self) -> RequestState {
+        self.request_state.clone()
     }
 
     /// Rejects the request: retrying is harmless.
@@ -58,7 +58,7 @@
     }
 
     fn respond(mut self, response: FinalResponse) {
-        self.request.close();
+        self.request_state.close();
         if let Some(sender) = self.response.take() {
             // Fails if the client has disconnected: then the answer is for nobody.
             let _ = sender.send(response);
@@ -69,7 +69,7 @@
 impl Drop for Responder {
     /// Fails the request if the responder was not used, because of a panic, say.
     fn drop(&mut self) {
-        self.request.close();
+        self.request_state.close();
         if let Some(sender) = self.response.take() {
             let _ = sender.send(FinalResponse::Failed);
         }
@@ -80,7 +80,7 @@
 /// called.
 pub struct DisconnectGuard {
     on_disconnect: Option<Rc<dyn Fn()>>,
-    request: RequestState,
+    request_state: RequestState,
 }
 
 impl DisconnectGuard {
@@ -92,7 +92,7 @@
     /// Reports, once, that the client has disconnected. Nothing begins for the request from here on.
     fn disconnect(&mut self) {
         if let Some(on_disconnect) = self.on_disconnect.take() {
-            self.request.close();
+            self.request_state.close();
             on_disconnect();
         }
     }
@@ -145,9 +145,9 @@
 /// Opens an exchange; `on_disconnect` is called if the client disconnects before it has its answer.
 pub fn open(on_disconnect: Rc<dyn Fn()>) -> (PendingResponse, Responder) {
     let (sender, response) = oneshot::channel();
-    let request = RequestState::default();
-    let guard = DisconnectGuard { on_disconnect: Some(on_disconnect), request: request.clone() };
-    (PendingResponse { response, guard }, Responder { response: Some(sender), request })
+    let request_state = RequestState::default();
+    let guard = DisconnectGuard { on_disconnect: Some(on_disconnect), request_state: request_state.clone() };
+    (PendingResponse { response, guard }, Responder { response: Some(sender), request_state })
 }
 
 #[cfg(test)]
--- a/tests/attempts/write_guard.rs
+++ b/tests/attempts/write_guard.rs
@@ -44,7 +44,7 @@
             }
             Meanwhile::RequestAnswered => {
                 let (_pending, responder) = open(Rc::new(|| {}));
-                attempt.request_state = responder.request();
+                attempt.request_state = responder.request_state();
                 responder.reject(None);
             }
             Meanwhile::DeduplicationWindowEnded => attempt.deduplication_deadline = Some(upstream.now()),
