--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -1,6 +1,6 @@
 //! The exchange: where the server side and the upstream side of one request meet.
 //!
-//! [`open`] returns a [`PendingResponse`] for whoever received the request, and a [`Responder`] that travels
+//! [`open_exchange`] returns a [`PendingResponse`] for whoever received the request, and a [`Responder`] that travels
 //! to whoever answers it. A responder is consumed by its use, so a request has one final answer by
 //! construction. A responder that is dropped unused fails the request, so that no client waits for an answer
 //! that nobody will give.
@@ -143,7 +143,7 @@
 }
 
 /// Opens an exchange; `on_disconnect` is called if the client disconnects before it has its answer.
-pub fn open(on_disconnect: Rc<dyn Fn()>) -> (PendingResponse, Responder) {
+pub fn open_exchange(on_disconnect: Rc<dyn Fn()>) -> (PendingResponse, Responder) {
     let (sender, response) = oneshot::channel();
     let request_state = RequestState::default();
     let guard = DisconnectGuard { on_disconnect: Some(on_disconnect), request_state: request_state.clone() };
--- a/src/runtime/exchange/tests.rs
+++ b/src/runtime/exchange/tests.rs
@@ -9,11 +9,11 @@
     let disconnects = Rc::new(Cell::new(0));
     let count = disconnects.clone();
     let on_disconnect: Rc<dyn Fn()> = Rc::new(move || count.set(count.get() + 1));
-    let (pending, responder) = open(on_disconnect.clone());
+    let (pending, responder) = open_exchange(on_disconnect.clone());
     drop(responder);
     assert!(matches!(pending.answer().await.0, FinalResponse::Failed));
     assert_eq!(disconnects.get(), 0);
-    let (pending, _responder) = open(on_disconnect);
+    let (pending, _responder) = open_exchange(on_disconnect);
     drop(pending);
     assert_eq!(disconnects.get(), 1);
 }
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -1,7 +1,7 @@
 //! How other parts reach the driver: its inputs, and the handle that submits them.
 
 use super::clock::Clock;
-use super::exchange::{ForwardedRequest, PendingResponse, Responder, ResponseStream, open};
+use super::exchange::{ForwardedRequest, PendingResponse, Responder, ResponseStream, open_exchange};
 use crate::interface::{
     AttemptIndex, Endpoint, LoadReport, Micros, Outcome, RequestId, RequestSpec, UpdateKind, WorkerId,
 };
@@ -117,7 +117,7 @@
         spec.request = request;
         let inputs = self.inputs.clone();
         let on_disconnect = move || _ = inputs.send(DriverInput::ClientDisconnected(request));
-        let (pending, responder) = open(Rc::new(on_disconnect));
+        let (pending, responder) = open_exchange(Rc::new(on_disconnect));
         let (received_at, forwarded) = (self.clock.now(), Rc::new(forwarded));
         self.submit(DriverInput::RequestReceived { spec, received_at, forwarded, responder });
         pending
--- a/tests/attempts/write_guard.rs
+++ b/tests/attempts/write_guard.rs
@@ -3,7 +3,7 @@
 use crate::harness::*;
 use crate::support::Peer;
 use llm_router::interface::{Micros, Outcome};
-use llm_router::runtime::exchange::{ClientConnection, ForwardedRequest, open};
+use llm_router::runtime::exchange::{ClientConnection, ForwardedRequest, open_exchange};
 use llm_router::runtime::{Outbound, ReleaseProgress};
 use rstest::rstest;
 use std::cell::Cell;
@@ -43,7 +43,7 @@
                 attempt.forwarded = Rc::new(ForwardedRequest { client, ..forwarded_request("id-1") });
             }
             Meanwhile::RequestAnswered => {
-                let (_pending, responder) = open(Rc::new(|| {}));
+                let (_pending, responder) = open_exchange(Rc::new(|| {}));
                 attempt.request_state = responder.request_state();
                 responder.reject(None);
             }
