--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -87,7 +87,7 @@
         // Not biased: a cancellation that is ready together with the answer may win or lose. Where it wins, the pending
         // response is dropped, which cancels the request at the driver.
         let (response, disconnect_guard) = tokio::select! {
-            response = pending.response_unless_disconnected(client.disconnected()) => response,
+            response = pending.wait_reporting_disconnect(client.disconnected()) => response,
             _ = active_call.interrupted() => return Err(RpcError::Cancelled),
         };
         match response {
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -129,7 +129,7 @@
         log::debug!("request {}: received on connection {}", parsed.id, client.number());
         let ParsedRequest { id, spec, .. } = parsed;
         let pending = driver.submit_request(spec, forwarded_request(id, head, body, active_id, client));
-        let (response, disconnect_guard) = pending.response_unless_disconnected(client.disconnected()).await;
+        let (response, disconnect_guard) = pending.wait_reporting_disconnect(client.disconnected()).await;
         Ok(platform::encode(response, disconnect_guard))
     }
 }
--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -114,14 +114,14 @@
 
 impl PendingResponse {
     /// Waits for the final answer. The guard has to be kept for as long as the client is being answered.
-    pub async fn answer(self) -> (FinalResponse, DisconnectGuard) {
-        self.response_unless_disconnected(std::future::pending()).await
+    pub async fn wait(self) -> (FinalResponse, DisconnectGuard) {
+        self.wait_reporting_disconnect(std::future::pending()).await
     }
 
     /// Waits for the final answer to a client that may disconnect meanwhile, which `disconnected` resolves
     /// at. The driver is then notified and still gives a final answer: a client that has only shut down its
     /// sending side receives it.
-    pub async fn response_unless_disconnected(
+    pub async fn wait_reporting_disconnect(
         mut self,
         disconnected: impl Future<Output = ()>,
     ) -> (FinalResponse, DisconnectGuard) {
--- a/src/runtime/exchange/tests.rs
+++ b/src/runtime/exchange/tests.rs
@@ -11,7 +11,7 @@
     let on_disconnect: Rc<dyn Fn()> = Rc::new(move || count.set(count.get() + 1));
     let (pending, responder) = open_exchange(on_disconnect.clone());
     drop(responder);
-    assert!(matches!(pending.answer().await.0, FinalResponse::Failed));
+    assert!(matches!(pending.wait().await.0, FinalResponse::Failed));
     assert_eq!(disconnects.get(), 0);
     let (pending, _responder) = open_exchange(on_disconnect);
     drop(pending);
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -43,7 +43,7 @@
         let state = driver.upstream.attempts.borrow()[0].request_state.clone();
         assert!(state.is_open());
         let DriverHarness { upstream, client, handle: _handle } = driver;
-        assert!(matches!(client.answer().await.0, FinalResponse::Rejected { .. }));
+        assert!(matches!(client.wait().await.0, FinalResponse::Rejected { .. }));
         assert!(!state.is_open());
         run_pending_tasks().await;
         assert_eq!(upstream.attempts.borrow_mut()[0].cancelled.try_recv(), Err(TryRecvError::Closed));
@@ -67,7 +67,7 @@
             let (client, clock) =
                 (handle.submit_request(request_spec(deadline), forwarded_request()), handle.clock);
             clients.push(tokio::task::spawn_local(async move {
-                let (answer, _guard) = client.answer().await;
+                let (answer, _guard) = client.wait().await;
                 (matches!(answer, FinalResponse::Rejected { .. }), clock.now())
             }));
         }
