--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -76,11 +76,11 @@
             match frame {
                 Some(Frame::Data(data)) => self.events.push(&data)?,
                 Some(Frame::End) => {
-                    self.disconnect_guard.finished();
+                    self.disconnect_guard.disarm();
                     return Ok(());
                 }
                 None => {
-                    self.disconnect_guard.finished();
+                    self.disconnect_guard.disarm();
                     return Err(RelayError::StreamBroken);
                 }
             }
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -49,7 +49,7 @@
                 Poll::Ready(frame) => {
                     // At its end, complete or broken, the driver knows already that the stream is over.
                     if !matches!(frame, Some(Frame::Data(_))) {
-                        disconnect_guard.finished();
+                        disconnect_guard.disarm();
                     }
                     frame
                 }
--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reports that the client has disconnected when it is dropped before [`DisconnectGuard::finished`] was
+/// Reports that the client has disconnected when it is dropped before [`DisconnectGuard::disarm`] was
 /// called.
 pub struct DisconnectGuard {
     on_disconnect: Option<Rc<dyn Fn()>>,
@@ -85,7 +85,7 @@
 
 impl DisconnectGuard {
     /// Records that the client has its complete answer: dropping the guard does nothing any more.
-    pub fn finished(&mut self) {
+    pub fn disarm(&mut self) {
         self.on_disconnect = None;
     }
 
@@ -136,7 +136,7 @@
         };
         let response = response.unwrap_or(FinalResponse::Failed);
         if !matches!(response, FinalResponse::Stream(_)) {
-            self.guard.finished();
+            self.guard.disarm();
         }
         (response, self.guard)
     }
