--- a/src/frontend/jsonrpc/tool_call.rs
+++ b/src/frontend/jsonrpc/tool_call.rs
@@ -43,10 +43,10 @@
     /// The answer can't go on.
     pub async fn run(mut self, replay_buffer: &Rc<ReplayBuffer>) -> Result<(), RelayError> {
         // A worker that waits for a tool result streams nothing: its silence is no failure.
-        self.stream.pause(true);
+        self.stream.set_awaiting_reply(true);
         let ToolCallEnd { outcome, stream_ended } = self.wait_for_outcome(replay_buffer).await?;
         self.send_response(&outcome).await?;
-        self.stream.pause(false);
+        self.stream.set_awaiting_reply(false);
         let state =
             if matches!(outcome, Ok(ToolReply::Result(_))) { ToolState::Done } else { ToolState::Error };
         let notification = self.notification(state);
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -130,7 +130,7 @@
                         Ok(Ok(Some(part))) => return Ok(Some(part)),
                         Ok(Ok(None)) if self.is_complete() => return Ok(None),
                         // A decode worker that waits for a tool's result has nothing to send.
-                        Err(_) if self.sender.paused.get() => self.last_event = Instant::now(),
+                        Err(_) if self.sender.awaiting_reply.get() => self.last_event = Instant::now(),
                         Ok(Ok(None)) => return Err(self.record_fault(StreamFault::EndedEarly)),
                         Ok(Err(error)) => return Err(self.record_fault(error.into())),
                         Err(_) => return Err(self.record_fault(StreamFault::NoEventInTime)),
--- a/src/runtime/exchange/stream.rs
+++ b/src/runtime/exchange/stream.rs
@@ -34,13 +34,13 @@
     pub content_type: Option<String>,
     frames: mpsc::Receiver<Frame>,
     replies: mpsc::Sender<Reply>,
-    paused: Rc<Cell<bool>>,
+    awaiting_reply: Rc<Cell<bool>>,
 }
 
 impl ResponseStream {
     /// Marks the worker as waiting for a reply: meanwhile its silence is no fault.
-    pub fn pause(&self, paused: bool) {
-        self.paused.set(paused);
+    pub fn set_awaiting_reply(&self, awaiting_reply: bool) {
+        self.awaiting_reply.set(awaiting_reply);
     }
 
     /// The next frame; `None` when the stream is broken. Cancel safe.
@@ -69,15 +69,18 @@
     /// Messages to the worker.
     pub replies: mpsc::Receiver<Reply>,
     /// Whether the worker is known to wait for a reply.
-    pub paused: Rc<Cell<bool>>,
+    pub awaiting_reply: Rc<Cell<bool>>,
 }
 
 /// The two ends of a new stream.
 pub fn response_stream(content_type: Option<String>) -> (ResponseStreamSender, ResponseStream) {
     let (frame_sender, frames) = mpsc::channel(MAX_WAITING_FRAMES);
     let (replies, reply_receiver) = mpsc::channel(1);
-    let paused = Rc::new(Cell::new(false));
-    let sender =
-        ResponseStreamSender { frames: frame_sender, replies: reply_receiver, paused: paused.clone() };
-    (sender, ResponseStream { content_type, frames, replies, paused })
+    let awaiting_reply = Rc::new(Cell::new(false));
+    let sender = ResponseStreamSender {
+        frames: frame_sender,
+        replies: reply_receiver,
+        awaiting_reply: awaiting_reply.clone(),
+    };
+    (sender, ResponseStream { content_type, frames, replies, awaiting_reply })
 }
