--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -161,7 +161,7 @@
         tokio::task::spawn_local(async move {
             let response = tokio::time::timeout(REPLY_TIMEOUT, client.call(call)).await;
             let is_taken = matches!(response, Ok(Ok(UnaryResponse { status, .. })) if status.is_success());
-            let _ = reply.done.send(is_taken);
+            let _ = reply.accepted.send(is_taken);
         });
     }
 }
--- a/src/runtime/exchange/stream.rs
+++ b/src/runtime/exchange/stream.rs
@@ -24,7 +24,7 @@
     /// Its body.
     pub body: Bytes,
     /// To be told whether the worker accepted it.
-    pub done: oneshot::Sender<bool>,
+    pub accepted: oneshot::Sender<bool>,
 }
 
 /// The server side's end of a stream. Dropping it cancels the attempt.
@@ -56,8 +56,8 @@
     /// Sends a message to the worker that streams; whether the worker accepted it. Dropping the future may
     /// leave the message sent.
     pub async fn reply(&self, body: Bytes) -> bool {
-        let (done, accepted) = oneshot::channel();
-        self.replies.send(Reply { body, done }).await.is_ok() && accepted.await.unwrap_or(false)
+        let (accepted, acceptance) = oneshot::channel();
+        self.replies.send(Reply { body, accepted }).await.is_ok() && acceptance.await.unwrap_or(false)
     }
 }
 
