--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -1,4 +1,4 @@
-//! A request in the driver's table, and its attempts.
+//! A request in the driver's request table, and its attempts.
 
 use super::exchange::{ForwardedRequest, RequestState, Responder};
 use super::held_cache::HeldCache;
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that has no final answer yet, or has attempts in flight.
+/// A request that has no final response yet, or has attempts in flight.
 ///
-/// The final answer is given through the [`Responder`], which is taken out when it is used: a request without
-/// one has its final answer. Taking it cancels every attempt of which nothing has been written, so nothing
-/// begins for an answered request, also where attempts may not be cancelled otherwise.
+/// The final response is sent through the [`Responder`], which is taken out for it: a request without a
+/// responder has its final response. Taking the responder cancels every attempt of which nothing has been
+/// written, even if the settings do not allow cancellation, so no attempt starts after the final response.
 pub(super) struct ActiveRequest {
     number: RequestId,
     forwarded: Rc<ForwardedRequest>,
@@ -24,17 +24,18 @@
     responder: Option<Responder>,
     attempts: Vec<AttemptRecord>,
     held_cache: HeldCache,
-    release: Option<Rc<ReleaseProgress>>,
+    /// A cache release that the next attempt has to wait for.
+    pending_release: Option<Rc<ReleaseProgress>>,
 }
 
 /// One attempt of a request.
 struct AttemptRecord {
     sent_at: Micros,
     worker: WorkerId,
-    /// What the worker was asked to do. A prefill has no effect.
+    /// The stage that the worker executes. A prefill has no effect.
     stage: Stage,
-    /// Cancels the attempt when it is dropped.
-    cancel: Option<oneshot::Sender<()>>,
+    /// Dropping it cancels the attempt.
+    cancel_sender: Option<oneshot::Sender<()>>,
     /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
     /// Set by the upstream client before it writes the first byte.
@@ -44,7 +45,7 @@
 
 impl AttemptRecord {
     fn cancel(&mut self) {
-        self.cancel = None;
+        self.cancel_sender = None;
     }
 
     fn is_in_flight(&self) -> bool {
@@ -59,28 +60,29 @@
     }
 }
 
-/// What the policy wants sent.
-pub(super) struct AttemptOrder {
-    /// The worker.
+/// The policy's specification of an attempt.
+pub(super) struct AttemptSpec {
+    /// The destination.
     pub worker: WorkerId,
-    /// What the worker is to do.
+    /// The stage that the worker executes.
     pub stage: Stage,
-    /// The attempt's timeout; `None`: the client's deadline.
+    /// The attempt's timeout, from the time it is sent; `None`: the client's deadline applies.
     pub timeout: Option<Micros>,
-    /// Its first byte must be written before this, so that it arrives inside its deduplication window.
+    /// No byte of the attempt may be written from this time on, so that it arrives inside the deduplication
+    /// window of the earlier attempts; `None`: no limit.
     pub deduplication_deadline: Option<Micros>,
 }
 
-/// What it takes to pass an attempt's stream on to the client as the final answer.
-pub(super) struct AnswerHandover {
-    /// Gives the stream to the client.
+/// An attempt whose stream becomes the final response.
+pub(super) struct StartedStream {
+    /// Passes the stream to the client.
     pub responder: Responder,
-    /// When its attempt was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
 }
 
 impl ActiveRequest {
-    /// A request that has just been received.
+    /// Creates the entry of a request that has just been received, without attempts.
     pub fn new(
         number: RequestId,
         forwarded: Rc<ForwardedRequest>,
@@ -97,11 +99,11 @@
             responder: Some(responder),
             attempts: Vec::new(),
             held_cache: HeldCache::default(),
-            release: None,
+            pending_release: None,
         }
     }
 
-    /// The id under which clients and workers know the request; log lines carry it.
+    /// The request id that clients, workers and log lines use.
     pub fn id(&self) -> &str {
         &self.forwarded.id
     }
@@ -111,40 +113,40 @@
         self.forwarded.clone()
     }
 
-    /// Whether the request has its final answer.
+    /// Whether the request has its final response.
     pub fn is_answered(&self) -> bool {
         self.responder.is_none()
     }
 
-    /// Whether the request has its final answer and no attempt in flight.
+    /// Whether the request has its final response and no attempt in flight.
     pub fn is_finished(&self) -> bool {
         self.is_answered() && !self.has_attempt_in_flight()
     }
 
-    /// Whether an attempt has been sent and has not ended.
+    /// Whether any attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::is_in_flight)
     }
 
-    /// Whether the request may be rejected: a client may then retry without harm.
+    /// Whether the request may be rejected, because a retry by the client is harmless.
     pub fn is_rejection_harmless(&self) -> bool {
         is_rejection_harmless(self.idempotency, self.may_have_run())
     }
 
-    /// For the log: the facts that decide between a rejection and a failure, see
+    /// Describes for the log why the request may or may not be rejected, see
     /// [`is_rejection_harmless`](Self::is_rejection_harmless).
-    pub fn rejection_facts(&self) -> String {
+    pub fn rejection_safety(&self) -> String {
         let may_have_run = if self.may_have_run() { "may have run" } else { "has not run" };
         format!("{may_have_run}, {:?}", self.idempotency)
     }
 
-    /// Whether an attempt that has ended, or one in flight, may have had an effect.
+    /// Whether any attempt, ended or in flight, may have had an effect.
     fn may_have_run(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
-    /// The facts on which another attempt is decided.
-    pub fn facts(&self, settings: &Settings) -> RequestSnapshot {
+    /// The state on which another attempt is decided.
+    pub fn snapshot(&self, settings: &Settings) -> RequestSnapshot {
         RequestSnapshot {
             is_answered: self.is_answered(),
             attempts: self.attempts.len(),
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Takes the responder, which gives the final answer; `None` if the request has its final answer already.
+    /// Takes the responder to send the final response; `None` if the request has its final response already.
+    /// Cancels the attempts of which nothing has been written.
     pub fn take_responder(&mut self) -> Option<Responder> {
         let responder = self.responder.take()?;
         self.attempts
@@ -166,10 +169,10 @@
         Some(responder)
     }
 
-    /// Records a new attempt and returns it for the upstream client. An attempt waits for a release under
-    /// way: a release that arrives after it would take what the attempt leaves.
-    pub fn start_attempt(&mut self, order: AttemptOrder, now: Micros) -> Attempt {
-        let AttemptOrder { worker, stage, timeout, deduplication_deadline } = order;
+    /// Records a new attempt and returns it for the upstream client. The attempt waits for a release in
+    /// progress: one that reaches the worker after the attempt would remove the KV cache that the attempt leaves.
+    pub fn start_attempt(&mut self, spec: AttemptSpec, now: Micros) -> Attempt {
+        let AttemptSpec { worker, stage, timeout, deduplication_deadline } = spec;
         let deadline =
             timeout.map_or(self.deadline, |timeout| self.deadline.min(now.saturating_add(timeout)));
         let index = AttemptIndex(self.attempts.len() as u32);
@@ -182,13 +185,13 @@
             deadline.saturating_sub(now),
             self.previous_outcome_note()
         );
-        let (cancel, cancelled) = oneshot::channel();
+        let (cancel_sender, cancelled) = oneshot::channel();
         let write_started = Rc::<Cell<bool>>::default();
         self.attempts.push(AttemptRecord {
             sent_at: now,
             worker: worker.clone(),
             stage,
-            cancel: Some(cancel),
+            cancel_sender: Some(cancel_sender),
             outcome: None,
             write_started: write_started.clone(),
             is_streaming: false,
@@ -203,28 +206,28 @@
             forwarded: self.forwarded.clone(),
             deadline,
             deduplication_deadline,
-            pending_release: self.release.take(),
+            pending_release: self.pending_release.take(),
             cancelled,
             write_started,
         }
     }
 
-    /// For the log: whether an attempt of this stage, made now, would be a retry or a hedged request.
+    /// Describes for the log whether a new attempt of this stage is a retry or a hedged request.
     fn repetition_note(&self, stage: Stage) -> &'static str {
         let mut earlier = self.attempts.iter().filter(|attempt| attempt.stage == stage);
         let Some(first) = earlier.next() else { return "" };
         if first.is_in_flight() || earlier.any(AttemptRecord::is_in_flight) { ", hedged" } else { ", retry" }
     }
 
-    /// For the log: how the last attempt ended, if it has.
+    /// Describes for the log the outcome of the last attempt, if it has ended.
     fn previous_outcome_note(&self) -> String {
         let outcome = self.attempts.last().and_then(|attempt| attempt.outcome);
         outcome.map_or_else(String::new, |outcome| format!(", after {outcome:?}"))
     }
 
-    /// Records that the answer of an attempt has begun to stream. `None` if there is no such attempt, or if
-    /// the request has its final answer already: that one stands.
-    pub fn start_stream(&mut self, index: AttemptIndex) -> Option<AnswerHandover> {
+    /// Records that an attempt has started to stream its response. `None` if there is no such attempt, or if
+    /// the request has its final response already.
+    pub fn start_stream(&mut self, index: AttemptIndex) -> Option<StartedStream> {
         let is_answered = self.is_answered();
         let attempt = self.attempts.get_mut(index.0 as usize)?;
         attempt.write_started.set(true);
@@ -235,13 +238,13 @@
         let sent_at = attempt.sent_at;
         self.held_cache.clear();
         let responder = self.take_responder()?;
-        if let Some(release) = self.release.take() {
+        if let Some(release) = self.pending_release.take() {
             release.cancel();
         }
-        Some(AnswerHandover { responder, sent_at })
+        Some(StartedStream { responder, sent_at })
     }
 
-    /// Records the end of an attempt; the time since it was sent. `None` if there is no such attempt in
+    /// Records the end of an attempt and returns the time since it was sent; `None` if no such attempt is in
     /// flight.
     pub fn end_attempt(&mut self, index: AttemptIndex, outcome: Outcome, now: Micros) -> Option<Micros> {
         let attempt = self.attempts.get_mut(index.0 as usize).filter(|attempt| attempt.is_in_flight())?;
@@ -252,7 +255,7 @@
         Some(elapsed)
     }
 
-    /// Cancels an attempt, unless it streams.
+    /// Cancels an attempt, unless it is streaming.
     pub fn cancel_attempt(&mut self, index: AttemptIndex) {
         let attempt = self.attempts.get_mut(index.0 as usize);
         if let Some(attempt) = attempt.filter(|attempt| !attempt.is_streaming) {
@@ -260,8 +263,8 @@
         }
     }
 
-    /// Cancels the attempts that stream. A client whose stream ends without the last chunk asks again for the
-    /// rest.
+    /// Cancels the attempts that are streaming. The client sees a stream without its last chunk, and requests
+    /// the rest.
     pub fn cancel_streams(&mut self) {
         self.attempts.iter_mut().filter(|attempt| attempt.is_streaming).for_each(AttemptRecord::cancel);
     }
@@ -281,10 +284,10 @@
         self.held_cache.is_held()
     }
 
-    /// Starts a release of the KV cache, which the next attempt waits for.
+    /// Creates a release of the KV cache; the next attempt waits for it.
     pub fn start_release(&mut self) -> Rc<ReleaseProgress> {
         let release = Rc::new(ReleaseProgress::new(self.held_cache.holder()));
-        self.release = Some(release.clone());
+        self.pending_release = Some(release.clone());
         release
     }
 }
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -1,5 +1,5 @@
 //! The router's counters. They are printed on SIGUSR1 and at exit as `name=value` pairs, which operators'
-//! tooling reads: a counter's name is its field's name.
+//! tools parse: the printed name of a counter is its field name.
 
 use crate::rules::Violations;
 use std::cell::Cell;
@@ -11,9 +11,9 @@
         /// The counters of one router.
         #[derive(Debug, Default)]
         pub struct Counters {
-            /// Invariants that were found broken, or would have been.
+            /// Violations of invariants, prevented ones included.
             pub violations: Violations,
-            $($(#[$doc])* pub $name: Count),*
+            $($(#[$doc])* pub $name: Counter),*
         }
 
         impl fmt::Display for Counters {
@@ -28,17 +28,17 @@
     };
 }
 
-/// A count that only grows.
+/// A monotonic counter.
 #[derive(Debug, Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
-    /// Adds one.
+impl Counter {
+    /// Increments the counter by one.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The present count.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -47,33 +47,33 @@
 counters! {
     /// Client connections accepted.
     client_connections,
-    /// Accepts that failed.
+    /// Failed accept calls.
     accept_errors,
-    /// Client connections that were accepted over the connection limit, to reject what they send.
+    /// Client connections accepted beyond the connection limit, whose requests are rejected.
     connections_rejected,
-    /// Requests handed to the driver.
+    /// Requests that reached the driver.
     requests_received,
     /// Requests answered with a 4xx status because they are malformed.
     requests_malformed,
-    /// Client connections, idle or with an incomplete request, that were closed to make room for others.
+    /// Client connections, idle or with an incomplete request, that were closed to free slots for others.
     connections_evicted,
-    /// Requests that did not arrive completely in time (status 408). Requests past their deadline are not counted here.
+    /// Requests that were not received completely in time (status 408). Requests past their deadline are not counted.
     requests_timed_out,
     /// Requests shed before the policy saw them, for lack of capacity.
     requests_shed,
-    /// Requests rejected because they came in the closing phase of a graceful shutdown.
+    /// Requests rejected in the closing phase of a graceful shutdown.
     rejected_at_shutdown,
     /// Connections opened to workers.
     upstream_connections,
-    /// Pooled connections that were reset as soon as a request was written to them.
+    /// Pooled connections that the worker reset when a request was written to them.
     stale_connections,
-    /// Attempts of which something was written to a worker.
+    /// Attempts of which at least one byte was written to a worker.
     attempts_sent,
-    /// Attempts withheld at the moment of writing: the worker is draining or removed, say.
+    /// Attempts withheld directly before a write, for instance because the worker is draining or removed.
     attempts_withheld,
-    /// Attempts that ended with a processed prompt.
+    /// Attempts that ended with a completed prefill.
     attempts_prefill_completed,
-    /// Attempts that ended with a completely streamed answer.
+    /// Attempts that ended with a completely streamed response.
     attempts_completed,
     /// Attempts that a worker rejected, missing KV caches included.
     attempts_rejected,
@@ -81,47 +81,47 @@
     attempts_connect_failed,
     /// Attempts whose connection was lost.
     attempts_connection_lost,
-    /// Attempts that had no response in time.
+    /// Attempts without a response before their deadline.
     attempts_timed_out,
-    /// Attempts that ended with an error of the worker.
+    /// Attempts that ended with a worker error.
     attempts_worker_error,
     /// Attempts that were cancelled.
     attempts_cancelled,
     /// Attempts of which nothing was sent.
     attempts_not_sent,
-    /// Answers that began to stream to clients.
+    /// Responses that started to stream to clients.
     responses_streamed,
-    /// Requests rejected by the policy or the driver, without those in `requests_shed` and `rejected_at_shutdown`.
+    /// Requests rejected by the policy or the driver, except those in `requests_shed` and `rejected_at_shutdown`.
     responses_rejected,
-    /// Requests failed.
+    /// Requests that failed.
     responses_failed,
-    /// Clients that disconnected before the end of their answer.
+    /// Clients that disconnected before the end of their response.
     client_disconnects,
-    /// Streams that broke after their first event.
+    /// Streams that were interrupted after their first event.
     streams_broken,
-    /// Releases of held KV caches.
+    /// Releases of held KV caches, forced ones included.
     cache_releases,
-    /// Releases at the hold limit, whether or not an attempt was unanswered.
+    /// Releases of KV caches at their hold limit, with or without an unanswered attempt.
     cache_releases_forced,
-    /// Releases that no worker executed.
+    /// Releases that no worker acknowledged.
     cache_releases_failed,
-    /// Timers of the policy that fired so late that requests suffer: the router was held up, or is short of CPU time.
+    /// Timers of the policy that fired late: the process was suspended, or is short of CPU time.
     late_timers,
-    /// Updates of the endpoint list, and failures to get one, that reached the driver.
+    /// Endpoint list updates that reached the driver, failed ones included.
     endpoint_updates,
-    /// Watches of discovery that broke or fell silent.
+    /// Discovery watches that were disconnected or timed out.
     watches_lost,
     /// Configurations loaded on SIGHUP.
     reloads,
     /// Configurations that could not be loaded on SIGHUP.
     reloads_failed,
-    /// Tool calls that decode workers asked for.
+    /// Tool calls requested by decode workers.
     tool_calls,
-    /// Tool calls of which something was written to the tool server.
+    /// Tool calls of which at least one byte was written to the tool server.
     tool_executions,
     /// Tool calls answered from the replay buffer.
     tool_replays,
-    /// Tool calls answered with an error of the JSON-RPC frontend itself.
+    /// Tool calls that the JSON-RPC frontend itself answered with an error.
     tool_errors,
     /// Panics that were caught.
     panics,
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -1,21 +1,21 @@
-//! How the driver executes the actions of the policy.
+//! Execution of the policy's actions.
 //!
-//! The policy decides by what it has been told; the driver checks again, by what it knows at the moment of
-//! the action, that no invariant of [`rules`](crate::rules) would be broken. An action that would break one
-//! is recorded and not executed.
+//! The policy decides on the events that it has received. The driver checks the invariants of
+//! [`rules`](crate::rules) again, on its own state at the time of the action. An action that would violate
+//! one is recorded and not executed.
 
 use super::Driver;
 use crate::interface::{Action, AttemptIndex, EndReason, Micros, RequestId, WorkerId};
 use crate::rules::Invariant;
 use crate::rules::send::check_attempt;
-use crate::runtime::active_request::AttemptOrder;
+use crate::runtime::active_request::AttemptSpec;
 use crate::runtime::timers::TimerEntry;
 
 impl Driver {
     pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, worker, stage, timeout, deduplication_deadline } => {
-                self.send(request, AttemptOrder { worker, stage, timeout, deduplication_deadline });
+                self.send(request, AttemptSpec { worker, stage, timeout, deduplication_deadline });
             }
             Action::Reject { request, retry_after, reason } => self.reject(request, retry_after, reason),
             Action::Fail { request, reason } => self.fail(request, reason),
@@ -26,30 +26,30 @@
             Action::SetTimer { at, timer } => self.timers.push(at, TimerEntry::Policy(timer)),
             Action::CheckHealth { worker } => self.outbound.check_health(worker),
             Action::CloseIdleConnections { worker } => self.outbound.close_idle_connections(&worker),
-            // The endpoint watcher watches from the start on and reconnects by itself: asking once more would
-            // only cut off the watch that is about to be answered.
+            // The endpoint watcher runs from the start and reconnects by itself; a new watch would only
+            // interrupt the current one.
             Action::WatchEndpoints => {}
             Action::PollEndpoints => self.outbound.poll_endpoints(),
             Action::Gossip { .. } => {
-                log::debug!("there is no gossip between routers here: a message to peers is dropped")
+                log::debug!("gossip between routers is not supported: message to peers dropped")
             }
             Action::Log(text) => log::info!("policy: {text}"),
         }
     }
 
-    fn send(&mut self, request: RequestId, order: AttemptOrder) {
+    fn send(&mut self, request: RequestId, spec: AttemptSpec) {
         let now = self.clock.now();
         let Some(active) = self.requests.get_mut(request) else { return };
-        if let Err(invariant) = check_attempt(&active.facts(&self.settings)) {
-            let detail = format!("not sent to {}", order.worker.0);
+        if let Err(invariant) = check_attempt(&active.snapshot(&self.settings)) {
+            let detail = format!("attempt at {} not sent", spec.worker.0);
             self.counters.violations.record(invariant, active.id(), detail);
             return;
         }
-        let attempt = active.start_attempt(order, now);
+        let attempt = active.start_attempt(spec, now);
         self.outbound.send(attempt);
     }
 
-    /// Rejects a request, or fails it where a rejection would promise too much.
+    /// Rejects a request, or fails it if a retry might be harmful.
     fn reject(&mut self, request: RequestId, retry_after: Option<Micros>, reason: EndReason) {
         let Some(active) = self.requests.get_mut(request) else { return };
         if !active.is_answered() && !active.is_rejection_harmless() {
@@ -71,7 +71,7 @@
     fn fail(&mut self, request: RequestId, reason: EndReason) {
         let Some(active) = self.requests.get_mut(request) else { return };
         let Some(responder) = active.take_responder() else { return };
-        log::debug!("request {}: failed: reason {reason:?}, {}", active.id(), active.rejection_facts());
+        log::debug!("request {}: failed: reason {reason:?}, {}", active.id(), active.rejection_safety());
         self.counters.responses_failed.increment();
         responder.fail();
         self.answered.push(request);
@@ -102,14 +102,14 @@
         self.start_release(request);
     }
 
-    /// Starts the calls that release the KV cache; whether it still counts as held is up to the caller.
+    /// Starts the calls that release the KV cache. The caller records whether the cache still counts as held.
     pub(super) fn start_release(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(request) else { return };
         match active.held_cache().holder().cloned() {
             Some(holder) => {
-                log::debug!("request {}: releasing the cache held at {}", active.id(), holder.0)
+                log::debug!("request {}: releasing the KV cache at {}", active.id(), holder.0)
             }
-            None => log::debug!("request {}: releasing its cache, no holder is known", active.id()),
+            None => log::debug!("request {}: releasing the KV cache at an unknown worker", active.id()),
         }
         self.counters.cache_releases.increment();
         let release = active.start_release();
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -1,15 +1,15 @@
-//! What the driver does with its inputs: it updates the table of requests and notifies the policy.
+//! Handling of the driver's inputs: updates of the request table and notification of the policy.
 
 use super::limits::DriverEndReason;
 use super::{Driver, MICROS_PER_MS};
 use crate::interface::{
     AttemptEnd, AttemptIndex, Event, Idempotency, Micros, Outcome, RequestId, RequestSpec,
 };
-use crate::runtime::active_request::ActiveRequest;
-use crate::runtime::counters::Count;
+use crate::runtime::active_request::{ActiveRequest, StartedStream};
+use crate::runtime::counters::Counter;
 use crate::runtime::exchange::{ForwardedRequest, Responder, ResponseStream};
 use crate::runtime::handle::{AttemptResult, DriverInput};
-use crate::runtime::lag::LATE;
+use crate::runtime::lag::LATE_TIMER_THRESHOLD;
 use crate::runtime::timers::TimerEntry;
 use std::rc::Rc;
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Enters a request in the table, limits the time for its final answer, and notifies the policy.
+    /// Adds a request to the table, sets its answer deadline, and notifies the policy.
     fn request_received(
         &mut self,
         spec: RequestSpec,
@@ -52,7 +52,7 @@
         self.counters.requests_received.increment();
         let now = self.clock.now();
         log::debug!(
-            "request {}: received as number {}, queued for {} us, {} ms left, class {}, {} prompt tokens",
+            "request {}: received as number {}, queued for {} us, {} ms until its deadline, class {}, {} prompt tokens",
             forwarded.id,
             spec.request.0,
             now.saturating_sub(received_at),
@@ -60,12 +60,15 @@
             spec.class,
             spec.prompt_tokens
         );
-        let waited = now.saturating_sub(received_at);
-        if !responder.request_state().is_open() || waited > LATE || self.lag.is_behind(now) {
-            return self.shed(&forwarded.id, waited, responder);
+        let queue_time = now.saturating_sub(received_at);
+        if !responder.request_state().is_open()
+            || queue_time > LATE_TIMER_THRESHOLD
+            || self.lag.is_overloaded(now)
+        {
+            return self.shed(&forwarded.id, queue_time, responder);
         }
         let class = self.settings.classes.iter().find(|class| class.name == spec.class);
-        // A request of a class that the settings don't name is never repeated.
+        // A request of an unknown class is treated as non-idempotent.
         let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
         let (number, deadline) = (spec.request, spec.deadline);
         let request = ActiveRequest::new(number, forwarded, deadline, idempotency, responder);
@@ -75,11 +78,11 @@
         self.notify_policy(Event::RequestReceived(spec));
     }
 
-    /// Rejects a request that nothing was done for: its client has left already, or there is too little CPU time
-    /// even for the requests in progress, and with this one more of them would get no answer in time.
-    fn shed(&mut self, id: &str, waited: Micros, responder: Responder) {
+    /// Rejects a request before any work was done for it: its client has disconnected, or CPU time is too short
+    /// for the requests in progress, and accepting another one would make more of them miss their deadline.
+    fn shed(&mut self, id: &str, queue_time: Micros, responder: Responder) {
         log::debug!(
-            "request {id}: shed after {waited} us in the queue, {} are in progress",
+            "request {id}: shed after {queue_time} us in the queue, {} requests in progress",
             self.requests.len()
         );
         self.counters.requests_shed.increment();
@@ -87,7 +90,8 @@
         responder.reject(settings.retry_after_allowed.then_some(settings.max_retry_after));
     }
 
-    /// The client has disconnected, or has shut down its sending side and may still read the answer.
+    /// Handles a client that has disconnected, or that has shut down its sending side and may still read the
+    /// response.
     fn client_disconnected(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(request) else { return };
         self.counters.client_disconnects.increment();
@@ -95,19 +99,19 @@
         self.end_request(request, DriverEndReason::ClientDisconnected);
     }
 
-    /// Hands a stream to the client as the final answer, unless the request has one already.
+    /// Passes a stream to the client as the final response, unless the request has one already.
     fn stream_started(&mut self, request: RequestId, attempt: AttemptIndex, stream: ResponseStream) {
         let Some(active) = self.requests.get_mut(request) else { return };
-        // Where the request has its final answer, the stream is dropped, and its attempt ends with it.
-        let Some(handover) = active.start_stream(attempt) else { return };
-        let elapsed = self.clock.now().saturating_sub(handover.sent_at);
-        log::debug!("request {}: attempt {} streams after {elapsed} us", active.id(), attempt.0);
+        // If the request has its final response, the stream is dropped, which cancels its attempt.
+        let Some(StartedStream { responder, sent_at }) = active.start_stream(attempt) else { return };
+        let elapsed = self.clock.now().saturating_sub(sent_at);
+        log::debug!("request {}: attempt {} started to stream after {elapsed} us", active.id(), attempt.0);
         self.counters.responses_streamed.increment();
-        handover.responder.stream(stream);
+        responder.stream(stream);
         self.notify_policy(Event::StreamStarted { request, attempt, elapsed });
     }
 
-    /// Records how an attempt ended and notifies the policy. The end of an attempt that is not in flight is ignored.
+    /// Records the result of an attempt and notifies the policy. Ignored for an attempt that is not in flight.
     fn attempt_ended(&mut self, request: RequestId, attempt: AttemptIndex, result: AttemptResult) {
         let AttemptResult { outcome, cached_tokens, report } = result;
         let now = self.clock.now();
@@ -123,7 +127,7 @@
         if let Some(at) = release_due {
             self.timers.push(at, TimerEntry::CacheHoldLimit(request));
         }
-        self.attempts_ended_with(outcome).increment();
+        self.outcome_counter(outcome).increment();
         self.notify_policy(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
@@ -136,7 +140,7 @@
         self.remove_if_finished(request);
     }
 
-    fn attempts_ended_with(&self, outcome: Outcome) -> &Count {
+    fn outcome_counter(&self, outcome: Outcome) -> &Counter {
         let counters = &self.counters;
         match outcome {
             Outcome::PrefillCompleted => &counters.attempts_prefill_completed,
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -1,34 +1,35 @@
-//! What the driver enforces by itself, whatever the policy does: final answers and releases of KV caches in
-//! time.
+//! Limits that the driver enforces independently of the policy: the answer deadline of each request and the
+//! hold limit of KV caches.
 
 use super::Driver;
 use crate::interface::{Event, Micros, RequestId};
 use crate::rules::Invariant;
 use crate::runtime::timers::TimerEntry;
 
-/// Why the driver ends a request without a decision of the policy.
+/// Why the driver, and not the policy, ends a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum DriverEndReason {
     /// The client has disconnected.
     ClientDisconnected,
-    /// The policy has not answered by the answer deadline.
+    /// The policy has not ended the request by its answer deadline.
     AnswerDeadlineExceeded,
 }
 
 impl Driver {
-    /// Ends a request that the policy has not answered in time: it may have lost the request in a panic.
+    /// Ends a request that has no final response by its answer deadline. The policy may have lost track of it in
+    /// a panic.
     pub(super) fn enforce_answer_deadline(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(request).filter(|active| !active.is_answered()) else {
             return;
         };
-        let detail = "no decision by its deadline, ended by the driver";
+        let detail = "no final response by the answer deadline; ended by the driver";
         self.counters.violations.record(Invariant::FinalResponse, active.id(), detail);
         active.cancel_all();
         self.release_cache(request);
         self.end_request(request, DriverEndReason::AnswerDeadlineExceeded);
     }
 
-    /// Releases the KV cache of a request if its hold limit is over.
+    /// Releases the KV cache of a request if its hold limit has expired.
     pub(super) fn enforce_cache_hold_limit(&mut self, request: RequestId, now: Micros) {
         let Some(active) = self.requests.get_mut(request) else { return };
         let hold_limit = self.settings.cache_hold_limit;
@@ -39,22 +40,22 @@
         }
         let attempts = if active.has_attempt_in_flight() { ", attempt unanswered" } else { "" };
         let holder = active.held_cache().holder().map_or("an unknown worker", |worker| &worker.0).to_owned();
-        log::debug!("request {}: the cache held at {holder} is at its hold limit{attempts}", active.id());
+        log::debug!("request {}: the KV cache at {holder} has reached its hold limit{attempts}", active.id());
         self.counters.cache_releases_forced.increment();
-        active.held_cache().released_at_hold_limit();
+        active.held_cache().mark_released();
         self.start_release(request);
     }
 
-    /// Gives a request its final answer without the policy, if it has none yet, and tells the policy that
-    /// nobody waits for it any more.
+    /// Sends the final response of a request, if it has none yet, and notifies the policy that the request
+    /// needs no response any more.
     pub(super) fn end_request(&mut self, request: RequestId, reason: DriverEndReason) {
-        self.answer_without_policy(request, reason);
+        self.respond_without_policy(request, reason);
         self.notify_policy(Event::ClientDisconnected { request });
         self.remove_if_finished(request);
     }
 
-    /// The answer is a rejection only if the client may retry without harm.
-    fn answer_without_policy(&mut self, request: RequestId, reason: DriverEndReason) {
+    /// Rejects the request if a retry is harmless, and fails it otherwise.
+    fn respond_without_policy(&mut self, request: RequestId, reason: DriverEndReason) {
         let Some(active) = self.requests.get_mut(request) else { return };
         let Some(responder) = active.take_responder() else { return };
         if active.is_rejection_harmless() {
@@ -66,7 +67,7 @@
             log::debug!(
                 "request {}: failed by the driver: reason {reason:?}, {}",
                 active.id(),
-                active.rejection_facts()
+                active.rejection_safety()
             );
             self.counters.responses_failed.increment();
             responder.fail();
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -1,8 +1,7 @@
-//! The driver: the loop that feeds the policy its events and executes its actions.
+//! The driver: the event loop that passes events to the policy and executes its actions.
 //!
-//! What happens is handled in [`inputs`](self::inputs), what the policy wants done in
-//! [`actions`](self::actions), and what the driver does by itself when a limit is reached in
-//! [`limits`](self::limits).
+//! [`inputs`](self::inputs) handles the driver's inputs, [`actions`](self::actions) executes the policy's
+//! actions, and [`limits`](self::limits) enforces time limits independently of the policy.
 
 mod actions;
 mod inputs;
@@ -12,7 +11,7 @@
 use super::counters::Counters;
 use super::handle::DriverInput;
 use super::input_queue::InputQueue;
-use super::lag::{LATE, LagChange, LagMonitor};
+use super::lag::{LATE_TIMER_THRESHOLD, LagChange, LagMonitor};
 use super::outbound::Outbound;
 use super::request_table::RequestTable;
 use super::timers::{TimerEntry, TimerQueue};
@@ -23,20 +22,19 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Log lines state times in ms.
 const MICROS_PER_MS: Micros = 1000;
 
-/// The driver yields the thread after this long, however many inputs wait.
-const TURN: Micros = 5_000;
+/// The time after which the driver yields the thread, even if inputs are pending.
+const MAX_TURN_DURATION: Micros = 5_000;
 
-/// Whether inputs may still wait at the end of a turn.
+/// Whether inputs may still be pending at the end of a turn.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Backlog {
     Empty,
     Remains,
 }
 
-/// The driver of one policy.
+/// The event loop around one policy.
 pub struct Driver {
     policy: Policy,
     settings: Settings,
@@ -46,14 +44,14 @@
     requests: RequestTable,
     timers: TimerQueue,
     lag: LagMonitor,
-    /// Empty between two events; kept for its memory.
+    /// A buffer that is reused for each event and is empty between events.
     actions: Vec<Action>,
-    /// Requests that the actions of the present event have answered.
+    /// Requests that got their final response through actions of the current event.
     answered: Vec<RequestId>,
 }
 
 impl Driver {
-    /// A driver around a new policy.
+    /// Creates a driver with a new policy.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -75,8 +73,8 @@
         }
     }
 
-    /// Runs until every handle is dropped. Dropping the future drops all requests: those without a final
-    /// answer fail.
+    /// Runs until every handle is dropped. Dropping the future drops all requests; those without a final
+    /// response fail.
     pub async fn run(mut self, inputs: mpsc::UnboundedReceiver<DriverInput>) {
         let mut inputs = InputQueue::new(inputs);
         loop {
@@ -88,8 +86,7 @@
                 }
             };
             tokio::select! {
-                // Inputs come first, so that a timer is handled with everything known that happened before
-                // it.
+                // Inputs come first: a timer is handled after all inputs that arrived before it.
                 biased;
                 input = inputs.recv() => match input {
                     Some(input) => self.handle_input(input),
@@ -97,17 +94,17 @@
                 },
                 () = timer => {}
             }
-            if self.work_off(&mut inputs) == Backlog::Remains {
-                // Streams and connections are served by other tasks of this thread.
+            if self.handle_pending_inputs(&mut inputs) == Backlog::Remains {
+                // Other tasks of this thread serve streams and connections.
                 tokio::task::yield_now().await;
             }
         }
     }
 
-    /// Handles the inputs that wait, for one turn of the thread at most.
-    fn work_off(&mut self, inputs: &mut InputQueue) -> Backlog {
-        let turn_end = self.clock.now() + TURN;
-        // After each input: a queue that is never empty must not starve the timers.
+    /// Handles pending inputs until there are none or the turn is over.
+    fn handle_pending_inputs(&mut self, inputs: &mut InputQueue) -> Backlog {
+        let turn_end = self.clock.now() + MAX_TURN_DURATION;
+        // Timers fire after each input, so that a queue that is never empty does not starve them.
         self.fire_due_timers();
         while self.clock.now() < turn_end {
             let Some(input) = inputs.try_recv() else { return Backlog::Empty };
@@ -131,51 +128,51 @@
         }
     }
 
-    /// Records how late a timer of the policy fires. There is one for as long as a request is in progress.
+    /// Records how late a timer of the policy fires. The policy has a timer while any request is in progress.
     fn record_lag(&mut self, due: Micros, now: Micros) {
-        if now.saturating_sub(due) > LATE {
+        if now.saturating_sub(due) > LATE_TIMER_THRESHOLD {
             self.counters.late_timers.increment();
         }
         let in_progress = self.requests.len();
         match self.lag.record_timer(due, now) {
-            Some(LagChange::FellBehind { lag }) => log::warn!(
-                "the router is short of CPU time: its timers are {} ms late, {in_progress} requests are in progress",
+            Some(LagChange::Overloaded { lag }) => log::warn!(
+                "CPU overload: timers fire {} ms late, {in_progress} requests in progress",
                 lag / MICROS_PER_MS
             ),
-            Some(LagChange::CaughtUp { after }) => log::warn!(
-                "the router's timers are on time again after {} ms, {in_progress} requests are in progress",
+            Some(LagChange::Recovered { after }) => log::warn!(
+                "CPU overload ended after {} ms, {in_progress} requests in progress",
                 after / MICROS_PER_MS
             ),
             None => {}
         }
     }
 
-    /// Hands an event to the policy and executes the actions that it returns. A panic of the policy costs
-    /// that decision only: a request that the policy loses by it is ended at its answer deadline.
+    /// Passes an event to the policy and executes the resulting actions. A panic in the policy is caught and
+    /// affects this event only: a request that the policy loses track of is ended at its answer deadline.
     fn notify_policy(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let now = self.clock.now();
         let policy = &mut self.policy;
         if catch_unwind(AssertUnwindSafe(|| policy.handle(now, event, &mut actions))).is_err() {
             self.counters.panics.increment();
-            log::error!("the policy panicked; the event is skipped");
+            log::error!("the policy panicked; event skipped");
         }
         for action in actions.drain(..) {
             self.execute(action);
         }
         self.actions = actions;
-        // Only after all actions: a release that follows the final answer has to find its request.
+        // Done after all actions, since a cache release may follow the final response of its request.
         while let Some(request) = self.answered.pop() {
             self.remove_if_finished(request);
         }
     }
 
-    /// Removes a request from the table if it has its final answer and no attempt in flight. A KV cache that
+    /// Removes a request from the table if it has its final response and no attempt in flight. A KV cache that
     /// is still held for it is released.
     fn remove_if_finished(&mut self, request: RequestId) {
         let Some(finished) = self.requests.remove_if_finished(request) else { return };
         if finished.holds_cache() {
-            let detail = "a KV cache is held for a request that is over";
+            let detail = "a KV cache is still held after the end of the request";
             self.counters.violations.record(Invariant::CacheReleased, finished.id(), detail);
             self.outbound.release_cache(finished.forwarded(), Rc::default());
         }
--- a/src/runtime/driver/tests.rs
+++ b/src/runtime/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is private to the driver.
+//! Unit tests of the driver.
 
 use super::*;
 use crate::interface::WorkerId;
@@ -7,10 +7,10 @@
 use crate::runtime::timers::PRUNING_THRESHOLD;
 use crate::runtime::{Attempt, DriverHandle, ReleaseProgress};
 
-/// An upstream client that does nothing.
-struct NoUpstream;
+/// An upstream client that ignores all calls.
+struct NoopUpstream;
 
-impl Outbound for NoUpstream {
+impl Outbound for NoopUpstream {
     fn send(&self, _: Attempt) {}
     fn release_cache(&self, _: Rc<ForwardedRequest>, _: Rc<ReleaseProgress>) {}
     fn reserve_slot(&self, _: RequestId, _: Rc<ForwardedRequest>, _: WorkerId) {}
@@ -19,13 +19,13 @@
     fn poll_endpoints(&self) {}
 }
 
-/// Guards against memory that grows with every request for as long as the longest deadline that clients
-/// state.
+/// Guards against timers of finished requests that stay in memory until the request deadline, which the client
+/// chooses.
 #[tokio::test]
 async fn finished_requests_leave_no_timers_behind() {
     let clock = Clock::start();
     let (handle, mut inputs) = DriverHandle::channel(clock);
-    let mut driver = Driver::new(Settings::default(), 1, clock, Rc::new(NoUpstream), Rc::default());
+    let mut driver = Driver::new(Settings::default(), 1, clock, Rc::new(NoopUpstream), Rc::default());
     for _ in 0..5 * PRUNING_THRESHOLD {
         let spec = request_spec(clock.now() + 600_000_000);
         let pending = handle.submit_request(spec, forwarded_request());
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -1,32 +1,32 @@
-//! The KV cache that a prefill worker holds for a request, and when it has to be released.
+//! The KV cache that a prefill worker holds for a request, and the time limit for its release.
 //!
-//! A cache may be held only for a limited time while no attempt is in flight. An attempt whose connection has
-//! fallen silent reaches no worker and therefore does not count as in flight, but nothing distinguishes it
-//! from an attempt that waits in a decode worker's queue. The cache is therefore also released at its limit
-//! while an attempt is unanswered: workers keep a released cache for an attempt that has already arrived.
+//! A cache may be held only for a limited time while no attempt is in flight. An attempt on a stalled
+//! connection has not reached its worker and does not count as in flight, but the router cannot distinguish it
+//! from an attempt that waits in a decode worker's queue. The cache is therefore released at its hold limit
+//! even while an attempt is unanswered: workers keep a released cache for an attempt that has already arrived.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 
-/// How much later the release is due while an attempt is unanswered: time for the attempt to be answered, or
-/// to be given up for another one. This is half of the tolerance that the protocol grants beyond the
-/// configured limit; the other half is for the release to arrive.
+/// Extension of the hold limit while an attempt is unanswered, so that the attempt can be answered or replaced
+/// by another one. This is half of the tolerance that the protocol grants beyond the configured limit; the other
+/// half is for the release to arrive.
 const UNANSWERED_ATTEMPT_ALLOWANCE: Micros = 150_000;
 
-/// A request's KV cache at a prefill worker, as far as the outcomes of attempts tell.
+/// The state of a request's KV cache at a prefill worker, derived from the outcomes of attempts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldCache {
-    /// Since when the cache has been idle: no attempt is known to have been in flight. `None` while nothing is held.
+    /// The last time at which an attempt is known to have been in flight; `None` while no cache is held.
     idle_since: Option<Micros>,
-    /// The worker that holds the cache, or held it last.
+    /// The worker that holds the cache, or the last one that held it.
     holder: Option<WorkerId>,
-    /// Whether the cache was released at its hold limit. An attempt that had arrived before that may still fetch it.
+    /// Whether the cache was released at its hold limit. An attempt that arrived earlier may still fetch it.
     is_released: bool,
-    /// Whether an attempt has been sent and has not ended.
+    /// Whether the last attempt has not ended.
     is_attempt_unanswered: bool,
 }
 
 impl HeldCache {
-    /// Records that an attempt was sent.
+    /// Records the start of an attempt.
     pub fn attempt_sent(&mut self) {
         self.is_attempt_unanswered = true;
     }
@@ -40,13 +40,13 @@
                 *self = HeldCache { idle_since, holder, ..HeldCache::default() };
             }
             Outcome::Completed | Outcome::CacheMissing => self.clear(),
-            // The attempt had arrived, so it was in flight until now.
-            Outcome::Rejected | Outcome::WorkerError => self.restart_limit(now),
-            // After a release, a cache remains only if the attempt had arrived before it.
+            // The worker has answered, so the attempt was in flight until now.
+            Outcome::Rejected | Outcome::WorkerError => self.restart_hold_limit(now),
+            // After a release, the cache still exists only if the attempt had arrived before the release.
             Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled if self.is_released => {
-                self.restart_limit(now)
+                self.restart_hold_limit(now)
             }
-            // An attempt that may not have reached its worker does not prove that it was in flight.
+            // The attempt may not have reached its worker, so it may not have been in flight.
             Outcome::TimedOut
             | Outcome::ConnectionLost
             | Outcome::Cancelled
@@ -55,19 +55,19 @@
         }
     }
 
-    fn restart_limit(&mut self, now: Micros) {
+    fn restart_hold_limit(&mut self, now: Micros) {
         self.idle_since = self.idle_since.map(|_| now);
         self.is_released = false;
     }
 
-    /// Records that the cache was fetched, or that its release has been sent.
+    /// Records that the cache was fetched by a decode worker, or that its release was sent.
     pub fn clear(&mut self) {
         self.idle_since = None;
         self.is_released = false;
     }
 
     /// Records that the cache was released at its hold limit.
-    pub fn released_at_hold_limit(&mut self) {
+    pub fn mark_released(&mut self) {
         self.is_released = true;
     }
 
@@ -76,15 +76,15 @@
         self.idle_since.is_some() && !self.is_released
     }
 
-    /// The worker that holds the cache, or held it last.
+    /// The worker that holds the cache, or the last one that held it.
     pub fn holder(&self) -> Option<&WorkerId> {
         self.holder.as_ref()
     }
 
-    /// When the cache has to be released unless something changes; `None` if nothing is held.
+    /// The time at which the cache has to be released, given its current state; `None` if none is held.
     pub fn release_due(&self, hold_limit: Micros) -> Option<Micros> {
-        let since = self.idle_since.filter(|_| !self.is_released)?;
+        let idle_since = self.idle_since.filter(|_| !self.is_released)?;
         let allowance = if self.is_attempt_unanswered { UNANSWERED_ATTEMPT_ALLOWANCE } else { 0 };
-        Some(since.saturating_add(hold_limit).saturating_add(allowance))
+        Some(idle_since.saturating_add(hold_limit).saturating_add(allowance))
     }
 }
--- a/src/runtime/lag.rs
+++ b/src/runtime/lag.rs
@@ -1,83 +1,85 @@
-//! How far the thread is behind: everything runs on one, so whatever takes too much CPU time delays all.
+//! Overload detection by event-loop lag: everything runs on one thread, so a shortage of CPU time delays all
+//! requests.
 //!
-//! The lag is seen by the driver's own timers, which fire late. It costs nothing to measure, and there is
-//! always a timer while a request is in progress.
+//! The lag is the delay with which the driver's timers fire. It costs nothing to measure, and a timer is
+//! pending whenever a request is in progress.
 
 use crate::interface::Micros;
 
-/// A timer that fires later than this is late.
+/// A timer that fires with a delay above this is late.
 ///
-/// Several turns of the thread pass between two steps of a request, and all of them have to fit into the time
-/// for which a KV cache may be held: half a second and more.
-pub(super) const LATE: Micros = 50_000;
+/// Several turns of the event loop pass between two steps of a request, and all of them have to fit into the
+/// time for which a KV cache may be held, which is at least half a second.
+pub(super) const LATE_TIMER_THRESHOLD: Micros = 50_000;
 
-/// The thread is behind when all timers have been late for this long. A process may be held up for as long
-/// once, by its machine, without being short of CPU time.
-const SUSTAINED: Micros = 150_000;
+/// The thread is overloaded when all timers have been late for longer than this. The operating system may
+/// suspend a process once for as long without a shortage of CPU time.
+const MIN_OVERLOAD_PERIOD: Micros = 150_000;
 
-/// A late timer says nothing any more after this long without another one.
-const LAPSE: Micros = 500_000;
+/// A late timer is disregarded after this time without another one.
+const LATE_TIMER_EXPIRY: Micros = 500_000;
 
-/// A period in which all timers were late.
+/// A period in which every timer was late.
 #[derive(Clone, Copy)]
 struct LatePeriod {
     since: Micros,
     until: Micros,
 }
 
-/// A change that is worth a line in the log.
+/// A change of the overload state, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LagChange {
-    /// The thread has fallen behind.
-    FellBehind {
-        /// How late the last timer was.
+    /// The thread is overloaded.
+    Overloaded {
+        /// The delay of the last timer.
         lag: Micros,
     },
-    /// The thread is on time again.
-    CaughtUp {
-        /// How long it was behind.
+    /// The overload has ended.
+    Recovered {
+        /// The duration of the overload.
         after: Micros,
     },
 }
 
-/// Watches the lag of the thread.
+/// Monitors the lag of the event loop.
 #[derive(Default)]
 pub(super) struct LagMonitor {
-    late: Option<LatePeriod>,
-    /// Since when the thread has been behind, if that was reported.
-    behind_since: Option<Micros>,
+    late_period: Option<LatePeriod>,
+    /// Start of an overload that was reported and whose end was not.
+    overloaded_since: Option<Micros>,
 }
 
 impl LagMonitor {
-    /// Records that a timer that was due at `due` has fired now.
+    /// Records a timer that was due at `due` and fires at `now`.
     pub fn record_timer(&mut self, due: Micros, now: Micros) -> Option<LagChange> {
         let lag = now.saturating_sub(due);
-        if lag <= LATE {
-            self.late = None;
+        if lag <= LATE_TIMER_THRESHOLD {
+            self.late_period = None;
         } else {
             let since = self.current_period(now).map_or(due, |period| period.since);
-            self.late = Some(LatePeriod { since, until: now });
+            self.late_period = Some(LatePeriod { since, until: now });
         }
-        match (self.is_behind(now), self.behind_since) {
+        match (self.is_overloaded(now), self.overloaded_since) {
             (true, None) => {
-                self.behind_since = Some(now);
-                Some(LagChange::FellBehind { lag })
+                self.overloaded_since = Some(now);
+                Some(LagChange::Overloaded { lag })
             }
             (false, Some(since)) => {
-                self.behind_since = None;
-                Some(LagChange::CaughtUp { after: now - since })
+                self.overloaded_since = None;
+                Some(LagChange::Recovered { after: now - since })
             }
             _ => None,
         }
     }
 
-    /// Whether the thread gets too little CPU time for what it has to do.
-    pub fn is_behind(&self, now: Micros) -> bool {
-        self.current_period(now).is_some_and(|period| period.until - period.since > LATE + SUSTAINED)
+    /// Whether the thread gets less CPU time than its work needs.
+    pub fn is_overloaded(&self, now: Micros) -> bool {
+        self.current_period(now)
+            .is_some_and(|period| period.until - period.since > LATE_TIMER_THRESHOLD + MIN_OVERLOAD_PERIOD)
     }
 
     fn current_period(&self, now: Micros) -> Option<LatePeriod> {
-        self.late.filter(|period| now.saturating_sub(period.until) < LAPSE)
+        self.late_period.filter(|period| now.saturating_sub(period.until) < LATE_TIMER_EXPIRY)
     }
 }
 
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,9 +1,9 @@
-//! The runtime around the policy: it feeds the policy events, executes its actions, and owns the timers and
-//! the table of requests.
+//! The runtime of the policy: it passes events to the policy, executes its actions, and owns the timers and
+//! the request table.
 //!
-//! The runtime knows no wire protocol. Requests come in through a [`DriverHandle`], calls go out through
-//! [`Outbound`], and their results come back as [`DriverInput`]. Everything runs on one thread, in the order
-//! of one queue, in which new requests go last.
+//! The runtime is independent of wire protocols. Requests arrive through a [`DriverHandle`], calls to workers
+//! and discovery leave through [`Outbound`], and their results return as [`DriverInput`]. Everything runs on
+//! one thread, in the order of one input queue, in which new requests have the lowest priority.
 
 mod active_request;
 mod clock;
