--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -170,7 +170,8 @@
     }
 
     /// Records a new attempt and returns it for the upstream client. The attempt waits for a release in
-    /// progress: one that reaches the worker after the attempt would remove the KV cache that the attempt leaves.
+    /// progress: one that reaches the worker after the attempt would remove the KV cache that the attempt
+    /// leaves.
     pub fn start_attempt(&mut self, spec: AttemptSpec, now: Micros) -> Attempt {
         let AttemptSpec { worker, stage, timeout, deduplication_deadline } = spec;
         let deadline =
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -57,7 +57,8 @@
     requests_malformed,
     /// Client connections, idle or with an incomplete request, that were closed to free slots for others.
     connections_evicted,
-    /// Requests that were not received completely in time (status 408). Requests past their deadline are not counted.
+    /// Requests that were not received completely in time (status 408). Requests past their deadline are not
+    /// counted.
     requests_timed_out,
     /// Requests shed before the policy saw them, for lack of capacity.
     requests_shed,
@@ -91,7 +92,8 @@
     attempts_not_sent,
     /// Responses that started to stream to clients.
     responses_streamed,
-    /// Requests rejected by the policy or the driver, except those in `requests_shed` and `rejected_at_shutdown`.
+    /// Requests rejected by the policy or the driver, except those in `requests_shed` and
+    /// `rejected_at_shutdown`.
     responses_rejected,
     /// Requests that failed.
     responses_failed,
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -78,8 +78,9 @@
         self.notify_policy(Event::RequestReceived(spec));
     }
 
-    /// Rejects a request before any work was done for it: its client has disconnected, or CPU time is too short
-    /// for the requests in progress, and accepting another one would make more of them miss their deadline.
+    /// Rejects a request before any work was done for it: its client has disconnected, or CPU time is too
+    /// short for the requests in progress, and accepting another one would make more of them miss their
+    /// deadline.
     fn shed(&mut self, id: &str, queue_time: Micros, responder: Responder) {
         log::debug!(
             "request {id}: shed after {queue_time} us in the queue, {} requests in progress",
@@ -111,7 +112,8 @@
         self.notify_policy(Event::StreamStarted { request, attempt, elapsed });
     }
 
-    /// Records the result of an attempt and notifies the policy. Ignored for an attempt that is not in flight.
+    /// Records the result of an attempt and notifies the policy. Ignored for an attempt that is not in
+    /// flight.
     fn attempt_ended(&mut self, request: RequestId, attempt: AttemptIndex, result: AttemptResult) {
         let AttemptResult { outcome, cached_tokens, report } = result;
         let now = self.clock.now();
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Removes a request from the table if it has its final response and no attempt in flight. A KV cache that
-    /// is still held for it is released.
+    /// Removes a request from the table if it has its final response and no attempt in flight. A KV cache
+    /// that is still held for it is released.
     fn remove_if_finished(&mut self, request: RequestId) {
         let Some(finished) = self.requests.remove_if_finished(request) else { return };
         if finished.holds_cache() {
--- a/src/runtime/driver/tests.rs
+++ b/src/runtime/driver/tests.rs
@@ -19,8 +19,8 @@
     fn poll_endpoints(&self) {}
 }
 
-/// Guards against timers of finished requests that stay in memory until the request deadline, which the client
-/// chooses.
+/// Guards against timers of finished requests that stay in memory until the request deadline, which the
+/// client chooses.
 #[tokio::test]
 async fn finished_requests_leave_no_timers_behind() {
     let clock = Clock::start();
--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -1,9 +1,8 @@
-//! The exchange: where the server side and the upstream side of one request meet.
+//! The exchange: the channel between the server side and the upstream side of one request.
 //!
-//! [`open_exchange`] returns a [`PendingResponse`] for whoever received the request, and a [`Responder`] that travels
-//! to whoever answers it. A responder is consumed by its use, so a request has one final answer by
-//! construction. A responder that is dropped unused fails the request, so that no client waits for an answer
-//! that nobody will give.
+//! [`open_exchange`] returns a [`PendingResponse`] for the server side and a [`Responder`] for the driver.
+//! Sending the final response consumes the responder, so a request has exactly one. A responder that is
+//! dropped unused fails the request, so that no client waits forever.
 
 mod request;
 mod stream;
@@ -15,21 +14,21 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The final answer, or its beginning.
+/// The final response of a request, or the start of it.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// The request was rejected: retrying is harmless.
+    /// The request was rejected: a retry is harmless.
     Rejected {
-        /// When the client should retry.
+        /// How long the client should wait before it retries; `None`: not stated.
         retry_after: Option<Micros>,
     },
-    /// The request failed: no promise about its effect.
+    /// The request failed: it may or may not have had an effect.
     Failed,
-    /// A worker's stream. It belongs to the client from here on.
+    /// The response stream of a worker.
     Stream(ResponseStream),
 }
 
-/// Gives the final answer. Each method consumes it; dropping it unused fails the request.
+/// Sends the final response. Sending consumes the responder; dropping it unused fails the request.
 #[derive(Debug)]
 pub struct Responder {
     response: Option<oneshot::Sender<FinalResponse>>,
@@ -37,22 +36,23 @@
 }
 
 impl Responder {
-    /// Whether the request still waits for its final answer, also after this responder is gone.
+    /// The state of the request. It may be kept for longer than the responder.
     pub fn request_state(&self) -> RequestState {
         self.request_state.clone()
     }
 
-    /// Rejects the request: retrying is harmless.
+    /// Rejects the request: a retry is harmless.
     pub fn reject(self, retry_after: Option<Micros>) {
         self.respond(FinalResponse::Rejected { retry_after });
     }
 
-    /// Fails the request: no promise about its effect.
+    /// Fails the request: it may or may not have had an effect.
     pub fn fail(self) {
         self.respond(FinalResponse::Failed);
     }
 
-    /// Passes a stream on. If nobody waits for it any more, the stream is dropped, which cancels its attempt.
+    /// Passes a stream to the client. If the client has disconnected, the stream is dropped, which cancels
+    /// its attempt.
     pub fn stream(self, stream: ResponseStream) {
         self.respond(FinalResponse::Stream(stream));
     }
@@ -60,14 +60,14 @@
     fn respond(mut self, response: FinalResponse) {
         self.request_state.close();
         if let Some(sender) = self.response.take() {
-            // Fails if the client has disconnected: then the answer is for nobody.
+            // Fails if the client has disconnected: the response is discarded.
             let _ = sender.send(response);
         }
     }
 }
 
 impl Drop for Responder {
-    /// Fails the request if the responder was not used, because of a panic, say.
+    /// Fails the request if the responder was not used, for instance because of a panic.
     fn drop(&mut self) {
         self.request_state.close();
         if let Some(sender) = self.response.take() {
@@ -76,20 +76,19 @@
     }
 }
 
-/// Reports that the client has disconnected when it is dropped before [`DisconnectGuard::disarm`] was
-/// called.
+/// Reports the client as disconnected when dropped, unless [`DisconnectGuard::disarm`] was called.
 pub struct DisconnectGuard {
     on_disconnect: Option<Rc<dyn Fn()>>,
     request_state: RequestState,
 }
 
 impl DisconnectGuard {
-    /// Records that the client has its complete answer: dropping the guard does nothing any more.
+    /// Disables the report, once the client has its complete response.
     pub fn disarm(&mut self) {
         self.on_disconnect = None;
     }
 
-    /// Reports, once, that the client has disconnected. Nothing begins for the request from here on.
+    /// Reports, at most once, that the client has disconnected. No attempt of the request starts from now on.
     fn disconnect(&mut self) {
         if let Some(on_disconnect) = self.on_disconnect.take() {
             self.request_state.close();
@@ -99,13 +98,13 @@
 }
 
 impl Drop for DisconnectGuard {
-    /// The server drops the guard with the connection's future, however that ends.
+    /// The server drops the guard together with the future of the connection.
     fn drop(&mut self) {
         self.disconnect();
     }
 }
 
-/// Waits for the final answer. Dropping it, or the future of one of its methods, reports that the client has
+/// The final response in the future. Dropping it, or the future of one of its methods, reports the client as
 /// disconnected.
 pub struct PendingResponse {
     response: oneshot::Receiver<FinalResponse>,
@@ -113,20 +112,21 @@
 }
 
 impl PendingResponse {
-    /// Waits for the final answer. The guard has to be kept for as long as the client is being answered.
+    /// Waits for the final response. The caller keeps the guard until the response has been sent to the
+    /// client.
     pub async fn wait(self) -> (FinalResponse, DisconnectGuard) {
         self.wait_reporting_disconnect(std::future::pending()).await
     }
 
-    /// Waits for the final answer to a client that may disconnect meanwhile, which `disconnected` resolves
-    /// at. The driver is then notified and still gives a final answer: a client that has only shut down its
+    /// Waits for the final response, and reports the client as disconnected when `disconnected` resolves
+    /// first. The driver still sends a final response after that report: a client that has only shut down its
     /// sending side receives it.
     pub async fn wait_reporting_disconnect(
         mut self,
         disconnected: impl Future<Output = ()>,
     ) -> (FinalResponse, DisconnectGuard) {
         let response = tokio::select! {
-            // An answer that has been given stands, also if the client disconnects at the same moment.
+            // A response that is ready takes precedence over a disconnect at the same time.
             biased;
             response = &mut self.response => response,
             () = disconnected => {
@@ -142,7 +142,7 @@
     }
 }
 
-/// Opens an exchange; `on_disconnect` is called if the client disconnects before it has its answer.
+/// Opens an exchange; `on_disconnect` is called if the client disconnects before its response is complete.
 pub fn open_exchange(on_disconnect: Rc<dyn Fn()>) -> (PendingResponse, Responder) {
     let (sender, response) = oneshot::channel();
     let request_state = RequestState::default();
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -1,4 +1,4 @@
-//! A request on its way to workers, and what is known of its client meanwhile.
+//! A request as it is forwarded to workers, and the state of the request and of its client's connection.
 
 use bytes::Bytes;
 use hyper::HeaderMap;
@@ -10,33 +10,33 @@
 /// A request as it is forwarded to workers, unchanged.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
-    /// The id under which workers know it.
+    /// The request id that is sent to workers.
     pub id: String,
-    /// Path and query.
+    /// The path and query.
     pub target: String,
     /// The client's end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
-    /// The client's connection.
+    /// The connection of the client.
     pub client: ClientConnection,
-    /// What the request occupies, such as its id and its share of memory: freed by the drop of the last
-    /// reference, which may be after the final answer, when the last attempt or release of the request has
-    /// ended.
+    /// Resources that the request occupies, such as its id and its share of memory. They are freed when the
+    /// last reference is dropped. This may be after the final response, at the end of the last attempt or
+    /// cache release of the request.
     pub resources: Option<Rc<dyn Any>>,
 }
 
-/// The state of a client's connection, for whoever is about to send something on the client's behalf.
+/// The state of a client's connection. It is checked before anything is sent to a worker for the client.
 #[derive(Clone, Default)]
 pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
 
 impl ClientConnection {
-    /// A connection of which `is_closed` says whether the client has closed it.
+    /// A connection whose state `is_closed` returns.
     pub fn new(is_closed: Rc<dyn Fn() -> bool>) -> Self {
         ClientConnection(Some(is_closed))
     }
 
-    /// Whether the client has closed the connection by now.
+    /// Whether the client has closed the connection.
     pub fn is_closed(&self) -> bool {
         self.0.as_ref().is_some_and(|is_closed| is_closed())
     }
@@ -48,13 +48,13 @@
     }
 }
 
-/// Whether a request still waits for its final answer, for all that act on its behalf. It is closed at the
-/// moment in which an answer is given, by whomever, or in which the client is known to have disconnected.
+/// Whether a request still awaits its final response; shared by all tasks that work on the request. It is
+/// closed when a final response is sent or when the client is known to have disconnected.
 #[derive(Clone, Debug)]
 pub struct RequestState(Rc<Cell<bool>>);
 
 impl RequestState {
-    /// Whether there is no final answer yet.
+    /// Whether the request still awaits its final response.
     pub fn is_open(&self) -> bool {
         self.0.get()
     }
--- a/src/runtime/exchange/tests.rs
+++ b/src/runtime/exchange/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of what is private to the exchange.
+//! Unit tests of the exchange.
 
 use super::*;
 use std::cell::Cell;
 
-/// Guards against answers lost to a panic: dropping the responder fails the request.
+/// Guards against responses lost in a panic: dropping the responder fails the request.
 #[tokio::test]
-async fn a_responder_dropped_unused_fails_and_a_pending_response_dropped_early_reports_a_disconnect() {
+async fn a_dropped_responder_fails_the_request_and_a_dropped_pending_response_reports_a_disconnect() {
     let disconnects = Rc::new(Cell::new(0));
     let count = disconnects.clone();
     let on_disconnect: Rc<dyn Fn()> = Rc::new(move || count.set(count.get() + 1));
--- a/src/runtime/fixtures.rs
+++ b/src/runtime/fixtures.rs
@@ -1,9 +1,9 @@
-//! What the tests of the runtime's parts start from.
+//! Fixtures for the unit tests of the runtime.
 
 use super::exchange::ForwardedRequest;
 use crate::interface::{Micros, RequestId, RequestSpec};
 
-/// A request of no class, which expects an answer by this time.
+/// A request without a class that has this deadline.
 pub(super) fn request_spec(deadline: Micros) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
@@ -19,7 +19,7 @@
     }
 }
 
-/// A request without an id or a body, from a client that stays.
+/// A request without an id or a body, whose client stays connected.
 pub(super) fn forwarded_request() -> ForwardedRequest {
     ForwardedRequest {
         id: String::new(),
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -1,4 +1,4 @@
-//! How other parts reach the driver: its inputs, and the handle that submits them.
+//! The driver's inputs, and the handle through which other modules submit them.
 
 use super::clock::Clock;
 use super::exchange::{ForwardedRequest, PendingResponse, Responder, ResponseStream, open_exchange};
@@ -9,38 +9,38 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// How an attempt ended, and what its worker reported.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Prompt tokens that the worker found in its cache.
+    /// The number of prompt tokens that the worker found in its KV cache.
     pub cached_tokens: u64,
-    /// The worker's load, if reported.
+    /// The load of the worker, if it was reported.
     pub report: Option<LoadReport>,
 }
 
 impl From<Outcome> for AttemptResult {
-    /// The result of an attempt whose worker reported nothing.
+    /// The result of an attempt without a report of the worker.
     fn from(outcome: Outcome) -> Self {
         AttemptResult { outcome, cached_tokens: 0, report: None }
     }
 }
 
-/// An input of the driver: something that happened.
+/// An input of the driver.
 pub enum DriverInput {
     /// A request was received.
     RequestReceived {
-        /// What the policy is told of it.
+        /// The request as the policy sees it.
         spec: RequestSpec,
         /// When it was submitted to the driver.
         received_at: Micros,
-        /// What is forwarded to workers.
+        /// The request as it is forwarded to workers.
         forwarded: Rc<ForwardedRequest>,
-        /// Gives the final answer.
+        /// Sends the final response.
         responder: Responder,
     },
-    /// The client has disconnected.
+    /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
     /// The first event of a stream was received from a worker.
     StreamStarted {
@@ -57,17 +57,17 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptIndex,
-        /// How it ended, and what its worker reported.
+        /// The result.
         result: AttemptResult,
     },
-    /// The endpoint list was updated, or could not be.
+    /// The endpoint list was updated, or an update failed.
     EndpointsUpdated {
-        /// What the update contains.
+        /// The kind of the update.
         kind: UpdateKind,
-        /// Its endpoints.
+        /// The endpoints that it contains.
         endpoints: Vec<Endpoint>,
     },
-    /// A decode worker has answered a reservation.
+    /// A decode worker has answered a request to reserve a slot.
     SlotReservationAnswered {
         /// The request.
         request: RequestId,
@@ -80,14 +80,14 @@
     HealthChecked {
         /// The worker.
         worker: WorkerId,
-        /// [`Outcome::Completed`], or what went wrong.
+        /// [`Outcome::Completed`], or the failure.
         outcome: Outcome,
-        /// The worker's load, if reported.
+        /// The load of the worker, if it was reported.
         report: Option<LoadReport>,
     },
 }
 
-/// A handle to the driver. The driver runs for as long as there is one.
+/// A handle to the driver. The driver runs until the last handle is dropped.
 #[derive(Clone)]
 pub struct DriverHandle {
     inputs: mpsc::UnboundedSender<DriverInput>,
@@ -97,20 +97,20 @@
 }
 
 impl DriverHandle {
-    /// A handle and the driver's end of the queue. The queue itself is unbounded: it is bounded by the
-    /// requests in flight, which are limited where they are received.
+    /// Creates a handle and the receiving end of the driver's channel. The channel needs no bound of its own,
+    /// since the server limits the requests in flight.
     pub fn channel(clock: Clock) -> (Self, mpsc::UnboundedReceiver<DriverInput>) {
-        let (inputs, driver_end) = mpsc::unbounded_channel();
-        (DriverHandle { inputs, next_request: Rc::new(Cell::new(1)), clock }, driver_end)
+        let (inputs, receiver) = mpsc::unbounded_channel();
+        (DriverHandle { inputs, next_request: Rc::new(Cell::new(1)), clock }, receiver)
     }
 
-    /// Submits an input. It is dropped if the driver has ended, which happens only at the end of the process.
+    /// Submits an input. It is discarded if the driver has ended, which happens only at process exit.
     pub fn submit(&self, input: DriverInput) {
         let _ = self.inputs.send(input);
     }
 
-    /// Submits a request, under a number that is filled in here. Dropping the pending response tells the
-    /// driver that the client has disconnected.
+    /// Assigns the next request number and submits the request. Dropping the pending response reports the
+    /// client as disconnected.
     pub fn submit_request(&self, mut spec: RequestSpec, forwarded: ForwardedRequest) -> PendingResponse {
         let request = RequestId(self.next_request.get());
         self.next_request.set(request.0 + 1);
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -1,15 +1,16 @@
 //! The KV cache that a prefill worker holds for a request, and the time limit for its release.
 //!
 //! A cache may be held only for a limited time while no attempt is in flight. An attempt on a stalled
-//! connection has not reached its worker and does not count as in flight, but the router cannot distinguish it
-//! from an attempt that waits in a decode worker's queue. The cache is therefore released at its hold limit
-//! even while an attempt is unanswered: workers keep a released cache for an attempt that has already arrived.
+//! connection has not reached its worker and does not count as in flight, but the router cannot distinguish
+//! it from an attempt that waits in a decode worker's queue. The cache is therefore released at its hold
+//! limit even while an attempt is unanswered: workers keep a released cache for an attempt that has already
+//! arrived.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 
-/// Extension of the hold limit while an attempt is unanswered, so that the attempt can be answered or replaced
-/// by another one. This is half of the tolerance that the protocol grants beyond the configured limit; the other
-/// half is for the release to arrive.
+/// Extension of the hold limit while an attempt is unanswered, so that the attempt can be answered or
+/// replaced by another one. This is half of the tolerance that the protocol grants beyond the configured
+/// limit; the other half is for the release to arrive.
 const UNANSWERED_ATTEMPT_ALLOWANCE: Micros = 150_000;
 
 /// The state of a request's KV cache at a prefill worker, derived from the outcomes of attempts.
--- a/src/runtime/input_queue.rs
+++ b/src/runtime/input_queue.rs
@@ -1,46 +1,47 @@
-//! The inputs that wait for the driver.
+//! The queue of the driver's inputs.
 
 use super::handle::DriverInput;
 use std::collections::VecDeque;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// The driver's end of the queue of inputs.
+/// The receiving end of the driver's input queue.
 ///
-/// New requests go last: what happens to the requests in progress may have to be acted upon within fractions
-/// of a second, and a new request that waits can still be rejected. Otherwise inputs keep their order.
+/// New requests have the lowest priority: events of requests in progress may have to be handled within
+/// fractions of a second, while a new request that waits can still be rejected. Otherwise inputs keep their
+/// order.
 pub(super) struct InputQueue {
-    arriving: UnboundedReceiver<DriverInput>,
+    receiver: UnboundedReceiver<DriverInput>,
     events: VecDeque<DriverInput>,
     requests: VecDeque<DriverInput>,
 }
 
 impl InputQueue {
-    /// The queue behind these inputs.
-    pub fn new(arriving: UnboundedReceiver<DriverInput>) -> Self {
-        InputQueue { arriving, events: VecDeque::new(), requests: VecDeque::new() }
+    /// Creates a queue of the inputs from a channel.
+    pub fn new(receiver: UnboundedReceiver<DriverInput>) -> Self {
+        InputQueue { receiver, events: VecDeque::new(), requests: VecDeque::new() }
     }
 
-    /// Takes the next input that has arrived, if there is one.
+    /// Returns the next pending input, if there is one.
     pub fn try_recv(&mut self) -> Option<DriverInput> {
-        while let Ok(input) = self.arriving.try_recv() {
-            self.add(input);
+        while let Ok(input) = self.receiver.try_recv() {
+            self.enqueue(input);
         }
         self.events.pop_front().or_else(|| self.requests.pop_front())
     }
 
-    /// Waits for the next input; `None` once every handle is dropped and nothing is left.
+    /// Waits for the next input; `None` once every handle is dropped and the queue is empty.
     ///
-    /// Cancel safe: an input that has arrived stays in the queue.
+    /// Cancel safe: a received input stays in the queue.
     pub async fn recv(&mut self) -> Option<DriverInput> {
         if let Some(input) = self.try_recv() {
             return Some(input);
         }
-        let input = self.arriving.recv().await?;
-        self.add(input);
+        let input = self.receiver.recv().await?;
+        self.enqueue(input);
         self.try_recv()
     }
 
-    fn add(&mut self, input: DriverInput) {
+    fn enqueue(&mut self, input: DriverInput) {
         let queue = match input {
             DriverInput::RequestReceived { .. } => &mut self.requests,
             _ => &mut self.events,
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -1,4 +1,4 @@
-//! What the driver asks of the upstream client.
+//! The driver's interface to the upstream client.
 
 use super::exchange::{ForwardedRequest, RequestState};
 use crate::interface::{AttemptIndex, Micros, RequestId, Stage, WorkerId};
@@ -6,34 +6,35 @@
 use std::rc::Rc;
 use tokio::sync::{Notify, oneshot};
 
-/// One attempt at a request, for the upstream client to carry out.
+/// An attempt of a request, to be executed by the upstream client.
 pub struct Attempt {
-    /// The request.
+    /// The number of the request.
     pub request: RequestId,
-    /// Whether the request still waits for its final answer: otherwise nothing may begin for it.
+    /// Whether the request still awaits its final response; if not, the attempt must not start.
     pub request_state: RequestState,
     /// The attempt's index.
     pub index: AttemptIndex,
-    /// The worker that it goes to.
+    /// The destination.
     pub worker: WorkerId,
-    /// What the worker is to do. Only a decode is answered by a stream.
+    /// The stage that the worker executes. Only the response of a decode is a stream.
     pub stage: Stage,
-    /// What is sent.
+    /// The request as it is sent to the worker.
     pub forwarded: Rc<ForwardedRequest>,
-    /// When to stop waiting for the first event of the answer.
+    /// When the attempt times out unless the first event of the response has been received.
     pub deadline: Micros,
-    /// Its first byte must be written before this, so that it arrives inside its deduplication window.
+    /// No byte of the attempt may be written from this time on, so that it arrives inside the deduplication
+    /// window of the earlier attempts; `None`: no limit.
     pub deduplication_deadline: Option<Micros>,
-    /// A release to wait for: one that arrives after this attempt would take the cache that the attempt
-    /// leaves.
+    /// A release to wait for: one that reaches the worker after this attempt would remove the KV cache that
+    /// the attempt leaves.
     pub pending_release: Option<Rc<ReleaseProgress>>,
-    /// Resolves, with a value or because its sender was dropped, when the attempt is cancelled.
+    /// Resolves when the attempt is cancelled, with a value or because the sender was dropped.
     pub cancelled: oneshot::Receiver<()>,
-    /// To be set before anything of the request is written.
+    /// Set by the upstream client before it writes the first byte of the attempt.
     pub write_started: Rc<Cell<bool>>,
 }
 
-/// The progress of a release, shared by the driver, the release and an attempt that waits for it.
+/// The state of a cache release, shared by the driver, the release task and an attempt that waits for it.
 #[derive(Default)]
 pub struct ReleaseProgress {
     holder: Option<WorkerId>,
@@ -43,17 +44,18 @@
 }
 
 impl ReleaseProgress {
-    /// The progress of a release of what a worker holds, or held last. That worker is asked first.
+    /// Creates the state of a release that has not started. `holder` is the worker that holds the KV cache,
+    /// or the last one that held it; it is called first.
     pub fn new(holder: Option<&WorkerId>) -> Self {
         ReleaseProgress { holder: holder.cloned(), ..ReleaseProgress::default() }
     }
 
-    /// The worker to ask first, if one is known.
+    /// The worker to call first, if one is known.
     pub fn holder(&self) -> Option<&WorkerId> {
         self.holder.as_ref()
     }
 
-    /// Stops the release: from now on it could release what a later attempt has left.
+    /// Cancels the release: from now on it might remove the KV cache of a later attempt.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.changed.notify_waiters();
@@ -64,18 +66,19 @@
         self.wait_for(&self.cancelled).await;
     }
 
-    /// Records that a worker has executed the release.
+    /// Records that a worker has acknowledged the release.
     pub fn complete(&self) {
         self.completed.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Waits until a worker has executed the release. Cancel safe.
+    /// Waits until a worker has acknowledged the release. Cancel safe.
     pub async fn completed(&self) {
         self.wait_for(&self.completed).await;
     }
 
-    /// On one thread nothing changes between the look at the flag and the registration of the waiter.
+    /// All users are on one thread, so the flag cannot change between the check and the registration of the
+    /// waiter.
     async fn wait_for(&self, flag: &Cell<bool>) {
         while !flag.get() {
             self.changed.notified().await;
@@ -83,22 +86,22 @@
     }
 }
 
-/// The calls that the driver makes through the upstream client. None of them waits: their results come back
-/// as [`DriverInput`](super::DriverInput).
+/// The calls that the driver makes through the upstream client. None of them blocks: results are submitted to
+/// the driver as [`DriverInput`](super::DriverInput).
 pub trait Outbound {
-    /// Sends a request to a worker. Answered by exactly one
+    /// Sends an attempt to its worker. Results in exactly one
     /// [`DriverInput::AttemptEnded`](super::DriverInput::AttemptEnded).
     fn send(&self, attempt: Attempt);
-    /// Releases the KV cache that is held for a request, at whichever worker holds it, until the progress is
-    /// stopped.
+    /// Releases the KV cache that any worker holds for a request, unless the release is cancelled.
     fn release_cache(&self, forwarded: Rc<ForwardedRequest>, progress: Rc<ReleaseProgress>);
-    /// Asks a decode worker to reserve a slot. Answered by
-    /// [`DriverInput::SlotReservationAnswered`](super::DriverInput::SlotReservationAnswered) if the worker responds.
+    /// Asks a decode worker to reserve a slot. Results in
+    /// [`DriverInput::SlotReservationAnswered`](super::DriverInput::SlotReservationAnswered) if the worker
+    /// responds.
     fn reserve_slot(&self, request: RequestId, forwarded: Rc<ForwardedRequest>, worker: WorkerId);
-    /// Checks a worker's health. Answered by
+    /// Checks a worker's health. Results in
     /// [`DriverInput::HealthChecked`](super::DriverInput::HealthChecked).
     fn check_health(&self, worker: WorkerId);
-    /// Closes idle connections to a worker.
+    /// Closes the idle connections to a worker.
     fn close_idle_connections(&self, worker: &WorkerId);
     /// Polls discovery once for the complete endpoint list.
     fn poll_endpoints(&self);
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -5,25 +5,24 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Entries that the queue may hold beyond two for each active request before it is searched for obsolete
-/// ones.
+/// The queue is pruned when it holds more entries than this plus two for each active request.
 pub(super) const PRUNING_THRESHOLD: usize = 1024;
 
-/// What is due at a moment. Entries of one moment fire in the order of these variants.
+/// The kind of a timer. Entries that are due at the same time fire in the order of these variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerEntry {
-    /// A timer that the policy has set.
+    /// A timer of the policy.
     Policy(TimerId),
-    /// The latest moment for the final answer to a request, whatever the policy does.
+    /// The deadline for the final response of a request, enforced independently of the policy.
     AnswerDeadline(RequestId),
-    /// The latest moment for the release of the KV cache that is held for a request.
+    /// The hold limit of the KV cache that is held for a request.
     CacheHoldLimit(RequestId),
 }
 
-/// The timers that have not fired yet, ordered by time.
+/// The pending timers, ordered by due time.
 ///
-/// An entry is not removed when its request ends; [`TimerQueue::prune`] bounds how many such entries
-/// accumulate.
+/// An entry is not removed when its request ends; [`TimerQueue::prune`] bounds the number of such obsolete
+/// entries.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     entries: BinaryHeap<Reverse<(Micros, TimerEntry)>>,
@@ -35,12 +34,12 @@
         self.entries.push(Reverse((at, entry)));
     }
 
-    /// When the earliest entry is due.
+    /// The due time of the earliest entry.
     pub fn next_due(&self) -> Option<Micros> {
         self.entries.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Removes the earliest entry if it is due by now, and returns it with the time at which it was due.
+    /// Removes the earliest entry if it is due, and returns it with its due time.
     pub fn pop_due(&mut self, now: Micros) -> Option<(Micros, TimerEntry)> {
         if self.next_due()? > now {
             return None;
@@ -48,9 +47,9 @@
         self.entries.pop().map(|Reverse(entry)| entry)
     }
 
-    /// Drops the entries of requests that are over once they may be the majority. Answer deadlines stay in
-    /// the queue until they are due, which may be minutes if the client says so, though most requests end
-    /// much earlier: without pruning, memory would grow with the longest deadline that clients state.
+    /// Removes the entries of finished requests once they may be the majority. Answer deadlines stay in the
+    /// queue until they are due, which may take minutes, while most requests end much earlier: without
+    /// pruning, memory usage would depend on the longest deadline that clients choose.
     pub fn prune(&mut self, requests: &RequestTable) {
         if self.entries.len() <= 2 * requests.len() + PRUNING_THRESHOLD {
             return;
@@ -63,7 +62,7 @@
         });
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.entries.len()
