--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
-//! A request router in front of language models that separate prefill and decode workers serve.
+//! A request router for language-model servers with separate prefill and decode workers.
 //!
-//! All routing decisions are made by [`Policy`], which the simulator's adapter ([`simulator`]) and the router share. In
-//! the router, [`runtime`] drives the policy, [`net`] holds the connections to clients, workers and discovery, and
-//! [`frontend`] the protocols that clients speak. The two sides of a request meet in an
-//! [`exchange`](runtime::exchange) only.
+//! All routing decisions are made by [`Policy`], which the router and the simulator's adapter ([`simulator`])
+//! share. In the router, [`runtime`] drives the policy, [`net`] manages the connections to clients, workers
+//! and discovery, and [`frontend`] implements the client protocols. The two sides of a request communicate
+//! only through an [`exchange`](runtime::exchange).
 //!
-//! [`Policy`] is a state machine without input or output of its own: the caller hands it events with the time, and
-//! executes the actions that it appends. The same events always give the same actions. Settings, events and actions are
-//! in [`interface`].
+//! [`Policy`] is a state machine without I/O: the caller passes events with their time to it, and executes
+//! the actions that it returns. The same sequence of events always gives the same actions. [`interface`]
+//! defines settings, events and actions.
 //!
 //! ```
 //! use llm_router::Policy;
@@ -37,22 +37,11 @@
 //! let endpoints = vec![endpoint("a:1", "prefill"), endpoint("b:1", "decode")];
 //! policy.handle(0, Event::EndpointsUpdated { kind: UpdateKind::Snapshot, endpoints }, &mut actions);
 //!
-//! let request = RequestSpec {
-//!     request: RequestId(1),
-//!     deadline: 4_000_000,
-//!     session: None,
-//!     prefix: None,
-//!     prefix_tokens: 0,
-//!     prompt_tokens: 900,
-//!     max_tokens: 200,
-//!     expected_decode_time: None,
-//!     class: "chat".into(),
-//!     tenant: None,
-//! };
-//! policy.handle(1_000, Event::RequestReceived(request), &mut actions);
-//! let sent_to_prefill = actions.iter().any(|a| matches!(a, Action::Send { worker, .. } if &*worker.0 == "a:1"));
-//! assert!(sent_to_prefill);
-//! ```
+//! let request = RequestSpec { request: RequestId(1), deadline: 4_000_000, session: None, prefix: None,
+//! prefix_tokens: 0, prompt_tokens: 900, max_tokens: 200, expected_decode_time: None, class: "chat".into(),
+//! tenant: None, }; policy.handle(1_000, Event::RequestReceived(request), &mut actions); let sent_to_prefill
+//! = actions.iter().any(|a| matches!(a, Action::Send { worker, .. } if &*worker.0 == "a:1"));
+//! assert!(sent_to_prefill); ```
 
 pub mod config;
 pub mod frontend;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The router's program: its command line.
+//! The command line of the router.
 
 use llm_router::import::haproxy::{ImportError, import};
 use llm_router::logging::Log;
@@ -10,7 +10,7 @@
        llm-router serve FILE           serve by an operator's file
        llm-router import haproxy FILE  write an operator's file from HAProxy's configuration";
 
-/// What the command line asks for.
+/// A parsed command line.
 enum Command {
     ServePlatform,
     ServeFile(String),
@@ -18,7 +18,7 @@
     Help,
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{USAGE}")]
@@ -64,7 +64,7 @@
     }
 }
 
-/// Writes the operator's file to standard output, and what could not be carried over to standard error.
+/// Writes the operator's file to standard output, and the settings that were not imported to standard error.
 fn import_haproxy(file: String) -> Result<(), CommandError> {
     let text = read_file(&file)?;
     let imported = import(&text).map_err(|source| CommandError::Import { file, source })?;
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -1,28 +1,28 @@
-//! Why a router could not be started.
+//! The error of a router that cannot start.
 
 use crate::config::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a router could not be started. Operators read its text.
+/// The reason why a router cannot start. Its text is shown to the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The environment does not name the configuration.
+    /// The environment variable with the path of the configuration file is not set.
     #[error("configuration: NODE_CONFIG is not set")]
     ConfigNotNamed,
     /// A file could not be read.
     #[error("reading {file}: {source}")]
     ReadFile {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Why.
+        /// The system error.
         source: io::Error,
     },
     /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The configuration leaves too few sockets for connections to workers.
-    #[error("configuration: limits.sockets: {sockets} are too few")]
+    /// The configured limit leaves too few sockets for connections to workers.
+    #[error("configuration: limits.sockets: {sockets} sockets are too few")]
     TooFewSockets {
         /// The configured limit.
         sockets: usize,
@@ -38,7 +38,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The system error.
         source: io::Error,
     },
 }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! The router as a process: composition, signals, reload and graceful shutdown.
+//! The router process: composition, signals, reload and graceful shutdown.
 //!
-//! [`serve`] runs a router until SIGTERM or SIGINT. Its parts are made in the module `router`, which is the
-//! one place that knows all of them.
+//! [`serve`] runs a router until SIGTERM or SIGINT. The module `router` is the composition root: it creates
+//! all components and connects them.
 
 mod error;
 mod reload;
@@ -22,14 +22,14 @@
 use std::time::Duration;
 use tokio::task::LocalSet;
 
-/// How often connections and outcomes that are kept for later use are searched for expired ones.
+/// How often expired pooled connections and expired outcomes of tool calls are removed.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until the process is told to stop, and then shuts down gracefully. Blocks the thread: a router runs
-/// on one.
+/// Serves until SIGTERM or SIGINT, and then shuts down gracefully. Blocks the thread, on which the whole
+/// router runs.
 ///
 /// # Errors
-/// The router could not be started. Once it serves, nothing ends it but a signal.
+/// The router could not be started. Once it serves, it ends only on a signal.
 pub fn serve(source: ConfigSource, log: &Log) -> Result<(), StartError> {
     let config = source.load()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -38,17 +38,18 @@
 }
 
 async fn run(mut config: Config, source: ConfigSource, log: &Log) -> Result<(), StartError> {
-    // Before clients or operators can reach the process: SIGHUP ends it until a handler is registered.
+    // Registered before the router can be reached: SIGHUP ends a process without a handler.
     let mut signals = Signals::register().map_err(StartError::Signals)?;
     let router = Router::start(&mut config).await?;
-    let mut reloader = Reloader::new(source, config, router.discovery.clone(), router.counters.clone());
+    let mut reloader =
+        Reloader::new(source, config, router.discovery_address.clone(), router.counters.clone());
     serve_until_stopped(&router, &mut signals, &mut reloader, log).await;
     let Router { shutdown, counters, .. } = router;
     shutdown.begin();
     let finished = shutdown.finish();
     tokio::pin!(finished);
-    // The requests in flight may take long: the endpoint list has to follow discovery meanwhile. Any other
-    // signal is ignored; a second SIGTERM must not cut them off.
+    // Reloads are still handled, since requests in flight may take long and the endpoint list has to follow
+    // discovery meanwhile. Other signals are ignored, so that a second SIGTERM does not abort these requests.
     loop {
         tokio::select! {
             () = &mut finished => break,
@@ -62,7 +63,7 @@
 async fn serve_until_stopped(router: &Router, signals: &mut Signals, reloader: &mut Reloader, log: &Log) {
     let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
     loop {
-        // Both branches are cancel safe, and neither occurs often enough to starve the other.
+        // Both branches are cancel safe, and neither is ready often enough to starve the other.
         tokio::select! {
             signal = signals.next() => match signal {
                 ProcessSignal::Stop => return,
--- a/src/process/reload.rs
+++ b/src/process/reload.rs
@@ -8,29 +8,29 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Loads the configuration again when asked. Only discovery's address takes effect; everything else stays as
-/// it was at the start. A configuration that can't be loaded changes nothing.
+/// Reloads the configuration. Only a change of the discovery address takes effect; other changes require a
+/// restart. A configuration that cannot be loaded changes nothing.
 pub(super) struct Reloader {
     source: ConfigSource,
-    /// The configuration in force.
+    /// The configuration that is in effect.
     config: Config,
-    discovery: Rc<watch::Sender<Option<SocketAddr>>>,
+    discovery_address: Rc<watch::Sender<Option<SocketAddr>>>,
     counters: Rc<Counters>,
 }
 
 impl Reloader {
-    /// A reloader for a router that was started with a configuration. Changes of discovery's address go to
-    /// `discovery`.
+    /// Creates a reloader for a router that was started with `config`. Changes of the discovery address are
+    /// sent to `discovery_address`.
     pub fn new(
         source: ConfigSource,
         config: Config,
-        discovery: Rc<watch::Sender<Option<SocketAddr>>>,
+        discovery_address: Rc<watch::Sender<Option<SocketAddr>>>,
         counters: Rc<Counters>,
     ) -> Self {
-        Reloader { source, config, discovery, counters }
+        Reloader { source, config, discovery_address, counters }
     }
 
-    /// Loads the configuration and puts into force what may change while the router runs.
+    /// Loads the configuration and applies the changes that are allowed at run time.
     pub fn reload(&mut self) {
         match self.source.load() {
             Ok(loaded) => self.apply(&loaded),
@@ -45,20 +45,20 @@
 
     fn apply(&mut self, loaded: &Config) {
         self.counters.reloads.increment();
-        let not_applied = self.config.changes_requiring_restart(loaded);
-        if !not_applied.is_empty() {
-            log::warn!("reload: changes of {} take effect at the next start", not_applied.join(", "));
+        let deferred = self.config.changes_requiring_restart(loaded);
+        if !deferred.is_empty() {
+            log::warn!("reload: changes of {} require a restart and are not applied", deferred.join(", "));
         }
         self.config.discovery = loaded.discovery;
-        let has_moved = self.discovery.send_if_modified(|address| {
-            let has_moved = *address != loaded.discovery;
+        let is_changed = self.discovery_address.send_if_modified(|address| {
+            let is_changed = *address != loaded.discovery;
             *address = loaded.discovery;
-            has_moved
+            is_changed
         });
         match loaded.discovery {
-            Some(address) if has_moved => log::info!("reload: discovery is now at {address}"),
-            None if has_moved => {
-                log::info!("reload: there is no discovery any more; the endpoint list stays")
+            Some(address) if is_changed => log::info!("reload: discovery is now at {address}"),
+            None if is_changed => {
+                log::info!("reload: discovery is disabled; the endpoint list stays as it is")
             }
             _ => log::info!("reload: discovery stays where it was"),
         }
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -1,4 +1,4 @@
-//! The composition of a router: which parts there are, and what they share.
+//! The composition root of a router: creates its components and connects them.
 
 use super::StartError;
 use super::shutdown::GracefulShutdown;
@@ -27,76 +27,80 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// A shorter connect timeout in the settings, 0 where none is stated, is raised to this.
+/// The lower bound of the connect timeout. The settings have 0 if none is stated.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// A start fails when this machine has had nothing to listen with for this long.
+/// How long opening the listening socket is retried while the system lacks resources for it.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Unit of the configured memory limit.
 const BYTES_PER_MEGABYTE: usize = 1024 * 1024;
-/// Bodies of requests may take the memory limit divided by this.
+/// Request bodies may use the configured memory limit divided by this.
 const BODY_MEMORY_DIVISOR: usize = 3;
-/// Pooled connections are kept for the time after which workers close idle ones, divided by this: a request
-/// must not cross such a close.
-const IDLE_TIME_DIVISOR: u32 = 3;
+/// Idle connections stay in the pool for the idle timeout of the workers divided by this, so that no request
+/// is written to a connection that its worker is closing.
+const IDLE_TIMEOUT_DIVISOR: u32 = 3;
 
 /// A running router.
 pub(super) struct Router {
-    /// Counts what happens.
+    /// The counters of all components.
     pub counters: Rc<Counters>,
-    /// Discovery's address, which the endpoint watcher follows.
-    pub discovery: Rc<watch::Sender<Option<SocketAddr>>>,
-    /// Ends it.
+    /// The discovery address that the endpoint watcher uses.
+    pub discovery_address: Rc<watch::Sender<Option<SocketAddr>>>,
+    /// Shuts the router down.
     pub shutdown: GracefulShutdown,
     pool: Pool,
-    tools: Option<Rc<JsonRpcService>>,
+    jsonrpc: Option<Rc<JsonRpcService>>,
 }
 
 impl Router {
-    /// Makes the parts, connects them and starts their tasks. The listening socket is opened first: a router
-    /// that can't listen starts nothing.
+    /// Creates the components and starts their tasks. The listening socket is opened first, so that a router
+    /// that cannot listen starts no task.
     ///
-    /// The endpoints that the configuration knows are moved out of it.
+    /// Takes the initial endpoints out of the configuration.
     ///
     /// # Errors
-    /// The address can't be listened on, or there are too few sockets.
+    /// The listening socket cannot be opened, or there are too few sockets.
     pub async fn start(config: &mut Config) -> Result<Self, StartError> {
         let (address, socket) = bind(config).await?;
         let counters = Rc::<Counters>::default();
         let clock = Clock::start();
         let (driver_handle, inputs) = DriverHandle::channel(clock);
         let sockets = SocketBudget::divide(config)?;
-        let parts = SharedParts::new(config, sockets, driver_handle, counters.clone());
+        let components = SharedComponents::new(config, sockets, driver_handle, counters.clone());
 
-        let upstream = Rc::new(parts.upstream_client(config));
+        let upstream = Rc::new(components.upstream_client(config));
         let driver = Driver::new(config.settings.clone(), config.seed, clock, upstream, counters.clone());
-        let watcher = parts.endpoint_watcher(config);
+        let watcher = components.endpoint_watcher(config);
         watcher.apply(std::mem::take(&mut config.initial_endpoints), UpdateKind::Restored);
         spawn_local(driver.run(inputs));
-        let (discovery, discovery_address) = watch::channel(config.discovery);
-        spawn_local(watcher.run(discovery_address));
+        let (discovery_address, address_changes) = watch::channel(config.discovery);
+        spawn_local(watcher.run(address_changes));
 
         let is_stopping = Rc::new(Cell::new(false));
-        let service = Rc::new(parts.service_context(config, is_stopping.clone()));
-        let tools = parts.jsonrpc_service(config, &service);
-        let handler = RequestService { context: service, jsonrpc: tools.clone() };
-        let shutdown = parts.start_server(sockets, socket, handler, is_stopping);
+        let service = Rc::new(components.service_context(config, is_stopping.clone()));
+        let jsonrpc = components.jsonrpc_service(config, &service);
+        let handler = RequestService { context: service, jsonrpc: jsonrpc.clone() };
+        let shutdown = components.start_server(sockets, socket, handler, is_stopping);
         log::info!(
             "{} serves on {address}, {} sockets for clients and {} for workers",
             config.name,
             sockets.clients,
             sockets.upstream
         );
-        Ok(Router { counters, discovery: Rc::new(discovery), shutdown, pool: parts.pool, tools })
+        Ok(Router {
+            counters,
+            discovery_address: Rc::new(discovery_address),
+            shutdown,
+            pool: components.pool,
+            jsonrpc,
+        })
     }
 
-    /// Closes pooled connections that have been idle for too long, and forgets outcomes of tool calls that
-    /// have expired.
+    /// Closes expired pooled connections and removes expired outcomes of tool calls.
     pub fn remove_expired(&self) {
         self.pool.close_expired();
-        if let Some(tools) = &self.tools {
-            tools.evict_expired();
+        if let Some(jsonrpc) = &self.jsonrpc {
+            jsonrpc.evict_expired();
         }
     }
 }
@@ -108,8 +112,8 @@
     bound.map_err(|source| StartError::Listen { address: config.listen, source })
 }
 
-/// What several parts of a router share.
-struct SharedParts {
+/// Components and values that other components share.
+struct SharedComponents {
     connect_timeout: Duration,
     counters: Rc<Counters>,
     directory: Rc<Directory>,
@@ -118,18 +122,18 @@
     pool: Pool,
 }
 
-impl SharedParts {
-    /// Makes the parts; nothing runs or connects yet.
+impl SharedComponents {
+    /// Creates the components without starting a task.
     fn new(config: &Config, sockets: SocketBudget, driver: DriverHandle, counters: Rc<Counters>) -> Self {
         let connect_timeout = Duration::from_micros(config.settings.connect_timeout);
         let connect_timeout = connect_timeout.max(MIN_CONNECT_TIMEOUT);
         let limits = PoolLimits {
             sockets: sockets.upstream,
             connect_timeout,
-            idle_timeout: config.idle_connection_timeout / IDLE_TIME_DIVISOR,
+            idle_timeout: config.idle_connection_timeout / IDLE_TIMEOUT_DIVISOR,
             trailing_bytes_wait: TRAILING_BYTES_WAIT,
         };
-        SharedParts {
+        SharedComponents {
             connect_timeout,
             directory: Rc::default(),
             driver,
@@ -182,7 +186,7 @@
         Some(JsonRpcService::new(service.clone(), settings, self.connect_timeout, config.seed))
     }
 
-    /// Starts to accept connections.
+    /// Starts the server, which accepts connections from now on.
     fn start_server(
         &self,
         sockets: SocketBudget,
@@ -190,19 +194,19 @@
         handler: RequestService,
         is_stopping: Rc<Cell<bool>>,
     ) -> GracefulShutdown {
-        let (phase, phases) = watch::channel(ShutdownPhase::Open);
+        let (phase_sender, phase) = watch::channel(ShutdownPhase::Open);
         let connections = Rc::new(Connections::default());
         let active_ids = handler.context.active_ids.clone();
         let max_connections = sockets.clients - RESERVED_CONNECTIONS;
-        let server = Listener {
+        let listener = Listener {
             handler,
             max_connections,
             max_waiting_requests: max_connections,
-            shutdown: phases,
+            shutdown: phase,
             connections: connections.clone(),
             counters: self.counters.clone(),
         };
-        let accept_task = spawn_local(server.accept(socket));
-        GracefulShutdown { is_stopping, phase, accept_task, connections, active_ids }
+        let accept_task = spawn_local(listener.accept(socket));
+        GracefulShutdown { is_stopping, phase_sender, accept_task, connections, active_ids }
     }
 }
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -1,5 +1,4 @@
-//! Graceful shutdown: every request that was received gets its final answer, and every held KV cache is
-//! released.
+//! Graceful shutdown: every received request gets its final response, and every held KV cache is released.
 
 use crate::frontend::context::ActiveRequestIds;
 use crate::net::server::connections::Connections;
@@ -10,45 +9,46 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How long connections are still accepted after SIGTERM. Clients keep connecting for up to 0.4 s after it;
-/// this is longer.
-const ACCEPT_TIME: Duration = Duration::from_millis(700);
-/// How often the shutdown checks whether everything has ended.
+/// How long connections are still accepted after SIGTERM. Clients may keep connecting for up to 0.4 s after
+/// it.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
+/// How often the shutdown checks whether connections and requests have ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a graceful shutdown acts on.
+/// A graceful shutdown, and the components that it controls.
 pub(super) struct GracefulShutdown {
-    /// While it is set, health checks are answered as not ready.
+    /// Set from the start of the shutdown: health checks then report the router as not ready.
     pub is_stopping: Rc<Cell<bool>>,
-    /// Tells the listener and the connections of the closing phase.
-    pub phase: watch::Sender<ShutdownPhase>,
-    /// The task that accepts connections. It ends after the closing phase was announced.
+    /// Announces the closing phase to the listener and the connections.
+    pub phase_sender: watch::Sender<ShutdownPhase>,
+    /// The task that accepts connections. It ends once the closing phase is announced.
     pub accept_task: JoinHandle<()>,
-    /// The open connections of clients.
+    /// The open client connections.
     pub connections: Rc<Connections>,
     /// The ids of the requests in flight.
     pub active_ids: Rc<ActiveRequestIds>,
 }
 
 impl GracefulShutdown {
-    /// Reports the router as not ready, so that balancers in front of it send new connections elsewhere.
+    /// Reports the router as not ready, so that load balancers send new connections to other routers.
     pub fn begin(&self) {
-        log::info!("stopping: accepting for {} ms more", ACCEPT_TIME.as_millis());
+        log::info!("stopping: accepting for {} ms more", ACCEPT_PERIOD.as_millis());
         self.is_stopping.set(true);
     }
 
-    /// Accepts for a while, closes idle connections, and waits until nothing is in flight. There is no limit
-    /// to this wait: each request has a deadline, and a stream ends with its worker or its client.
+    /// Accepts connections for [`ACCEPT_PERIOD`], closes idle ones, and waits until no request is in flight.
+    /// The wait needs no time limit: each request has a deadline, and a stream ends with its worker or its
+    /// client.
     pub async fn finish(self) {
-        tokio::time::sleep(ACCEPT_TIME).await;
-        let _ = self.phase.send(ShutdownPhase::Closing);
+        tokio::time::sleep(ACCEPT_PERIOD).await;
+        let _ = self.phase_sender.send(ShutdownPhase::Closing);
         let _ = self.accept_task.await;
         let open = self.connections.count();
         log::info!(
             "stopping: idle connections are closed, {open} are open with a request arriving or in flight"
         );
-        // An id is in use for as long as an attempt or a release of its request is in flight, so this also
-        // waits until held KV caches are released.
+        // A request id is active while an attempt or a cache release of the request is in flight, so this
+        // also waits for the release of held KV caches.
         while self.connections.count() > 0 || !self.active_ids.is_empty() {
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
--- a/src/process/signals.rs
+++ b/src/process/signals.rs
@@ -1,20 +1,20 @@
-//! The signals that the process handles.
+//! Signal handling.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// What a signal asks for.
+/// The meaning of a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessSignal {
     /// SIGTERM or SIGINT: shut down gracefully.
     Stop,
     /// SIGUSR1: print the counters.
     PrintCounters,
-    /// SIGHUP: load the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// The registered signals. From registration on, none of them ends the process by itself.
+/// The registered signal handlers. From registration on, none of these signals ends the process by default.
 pub(super) struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -26,7 +26,7 @@
     /// Registers the handlers.
     ///
     /// # Errors
-    /// The system refused one.
+    /// A handler could not be registered.
     pub fn register() -> io::Result<Self> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Waits for the next signal. Cancel safe; signals of one kind that arrive together count once.
+    /// Waits for the next signal. Cancel safe; pending signals of the same kind are coalesced.
     pub async fn next(&mut self) -> ProcessSignal {
         tokio::select! {
             _ = self.terminate.recv() => ProcessSignal::Stop,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Waits for SIGHUP alone. Cancel safe.
+    /// Waits for the next SIGHUP. Cancel safe.
     pub async fn reload_requested(&mut self) {
         self.hangup.recv().await;
     }
--- a/src/process/sockets.rs
+++ b/src/process/sockets.rs
@@ -1,24 +1,23 @@
-//! How a process divides its descriptors.
+//! Division of the process's file descriptors.
 
 use super::StartError;
 use crate::config::Config;
 
-/// Descriptors for everything that is neither a client's connection nor one to a worker: the listener,
+/// File descriptors that are reserved for other uses than connections to clients and workers: the listener,
 /// discovery, the log.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The connections to workers get this share of the rest, in twentieths. Each request in flight may hold a
-/// socket of either side; clients without a request hold some more of theirs, so their share is the larger
-/// one.
+/// The share of the remaining descriptors for connections to workers, in twentieths. A request in flight may
+/// hold one socket on each side; clients get the larger share because idle clients hold sockets, too.
 const UPSTREAM_TWENTIETHS: usize = 9;
-/// A router with fewer connections to workers does not start.
+/// A router with fewer sockets for connections to workers does not start.
 const MIN_UPSTREAM_SOCKETS: usize = 64;
 
-/// The sockets of each side.
+/// The maximum numbers of sockets on each side.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SocketBudget {
     /// Connections to workers.
     pub upstream: usize,
-    /// Connections of clients, those included that are only told that there is no capacity.
+    /// Connections to clients, including those that are accepted only to be rejected for lack of capacity.
     pub clients: usize,
 }
 
@@ -26,7 +25,7 @@
     /// Divides the configured number of descriptors.
     ///
     /// # Errors
-    /// There are too few.
+    /// Too few remain for connections to workers.
     pub fn divide(config: &Config) -> Result<Self, StartError> {
         let tool_calls = config.tools.as_ref().map_or(0, |tools| tools.max_concurrent_calls);
         let sockets = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + tool_calls);
--- a/src/process/source.rs
+++ b/src/process/source.rs
@@ -1,12 +1,12 @@
-//! Where the configuration is read from, at start and at each reload.
+//! The source of the configuration at start and at each reload.
 
 use super::StartError;
 use crate::config::Config;
 
-/// Names the platform's configuration file.
+/// The environment variable with the path of the platform's configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
 
-/// A file with the configuration.
+/// A configuration file and its format.
 #[derive(Debug)]
 pub struct ConfigSource {
     file: String,
@@ -15,31 +15,31 @@
 
 #[derive(Debug)]
 enum Format {
-    /// The platform's JSON; absent fields are taken from the environment.
+    /// The platform's JSON file; the environment supplies absent fields.
     Platform,
-    /// An operator's TOML file.
+    /// The operator's TOML file.
     Operator,
 }
 
 impl ConfigSource {
-    /// The platform's configuration, which the environment names.
+    /// The platform's configuration file, whose path is in the environment.
     ///
     /// # Errors
-    /// The environment does not name it.
+    /// The environment variable is not set.
     pub fn platform() -> Result<Self, StartError> {
         let file = std::env::var(CONFIG_VARIABLE).map_err(|_| StartError::ConfigNotNamed)?;
         Ok(ConfigSource { file, format: Format::Platform })
     }
 
-    /// An operator's file.
+    /// An operator's configuration file.
     pub fn operator(file: &str) -> Self {
         ConfigSource { file: file.to_owned(), format: Format::Operator }
     }
 
-    /// Reads the configuration as it is now.
+    /// Reads and parses the file.
     ///
     /// # Errors
-    /// The file can't be read, or is no valid configuration.
+    /// The file cannot be read, or the configuration is invalid.
     pub fn load(&self) -> Result<Config, StartError> {
         let text = read_file(&self.file)?;
         let config = match self.format {
@@ -50,7 +50,7 @@
     }
 }
 
-/// An environment variable. One that is empty counts as not set.
+/// The value of an environment variable. An empty one counts as not set.
 fn non_empty_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
@@ -58,7 +58,7 @@
 /// Reads a text file.
 ///
 /// # Errors
-/// It can't be read, or is not valid UTF-8.
+/// The file cannot be read, or is not valid UTF-8.
 pub fn read_file(file: &str) -> Result<String, StartError> {
     std::fs::read_to_string(file).map_err(|source| StartError::ReadFile { file: file.to_owned(), source })
 }
