--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -1,4 +1,4 @@
-//! The driver between a policy and an upstream client that only records the calls made through it.
+//! The driver, with an upstream client that only records the calls made through it.
 
 #[path = "support/driver.rs"]
 mod driver;
@@ -9,12 +9,12 @@
 use rstest::rstest;
 use tokio::sync::oneshot::error::TryRecvError;
 
-/// Guards against an attempt that begins after its client has disconnected, on a connection that is
-/// established late, say. This holds also where attempts may not be cancelled; an attempt that has begun goes
-/// on there.
+/// Guards against an attempt that starts after its client has disconnected, for instance on a connection that
+/// is established late. The settings do not allow cancellation here: an attempt that has been written goes
+/// on.
 #[rstest]
-#[case::that_has_not_begun_is_cancelled(false, TryRecvError::Closed)]
-#[case::that_has_begun_goes_on(true, TryRecvError::Empty)]
+#[case::that_was_not_written_is_cancelled(false, TryRecvError::Closed)]
+#[case::that_was_written_goes_on(true, TryRecvError::Empty)]
 #[tokio::test]
 async fn when_the_client_disconnects_an_attempt(#[case] write_started: bool, #[case] expected: TryRecvError) {
     let scenario = async {
@@ -30,16 +30,16 @@
     tokio::task::LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against an attempt that begins for a request that has its final answer, from the policy or, where
-/// the policy decides too late, from the driver at the answer deadline.
+/// Guards against an attempt that starts after the final response of its request. The response comes from the
+/// policy or, if the policy decides too late, from the driver at the answer deadline.
 #[rstest]
-#[case::of_the_policy(60_000_000)]
-#[case::of_the_driver(0)]
+#[case::by_the_policy(60_000_000)]
+#[case::by_the_driver(0)]
 #[tokio::test(start_paused = true)]
-async fn the_final_answer_cancels_an_attempt_that_has_not_begun(#[case] answer_grace: Micros) {
+async fn the_final_response_cancels_an_attempt_that_was_not_written(#[case] answer_grace: Micros) {
     let scenario = async {
         let driver = DriverHarness::start(Settings { answer_grace, ..settings() }, 1_000_000).await;
-        assert_eq!(driver.cancelled(), TryRecvError::Empty);
+        assert_eq!(driver.cancellation(), TryRecvError::Empty);
         let state = driver.upstream.attempts.borrow()[0].request_state.clone();
         assert!(state.is_open());
         let DriverHarness { upstream, client, handle: _handle } = driver;
@@ -51,10 +51,9 @@
     tokio::task::LocalSet::new().run_until(scenario).await;
 }
 
-/// Hundreds of requests whose deadlines fall on one instant, with attempts in flight that never end: each has
-/// its final answer by then.
+/// Guards against late final responses when hundreds of requests with attempts in flight share one deadline.
 #[tokio::test(start_paused = true)]
-async fn many_requests_with_one_deadline_are_each_answered_in_time() {
+async fn many_requests_with_one_deadline_all_get_their_final_response_in_time() {
     const REQUESTS: usize = 500;
     const ANSWER_SLACK: Micros = 16_000;
     let scenario = async {
@@ -67,13 +66,13 @@
             let (client, clock) =
                 (handle.submit_request(request_spec(deadline), forwarded_request()), handle.clock);
             clients.push(tokio::task::spawn_local(async move {
-                let (answer, _guard) = client.wait().await;
-                (matches!(answer, FinalResponse::Rejected { .. }), clock.now())
+                let (response, _guard) = client.wait().await;
+                (matches!(response, FinalResponse::Rejected { .. }), clock.now())
             }));
         }
         for client in clients {
             let (is_rejected, at) = client.await.unwrap();
-            // The async runtime's timers have a resolution of one millisecond.
+            // Tokio's timers have a resolution of one millisecond.
             assert!(is_rejected && at <= deadline + ANSWER_SLACK + 1_000, "{} us late", at - deadline);
         }
     };
--- a/tests/driver_held_cache.rs
+++ b/tests/driver_held_cache.rs
@@ -1,6 +1,5 @@
-//! How long a KV cache may be held at a prefill worker, whatever becomes of the attempts at decode workers:
-//! an attempt over a connection that has fallen silent reaches no worker, causes no error, and does not
-//! extend the limit.
+//! The hold limit of a KV cache at a prefill worker, for all outcomes of attempts at decode workers. An
+//! attempt on a stalled connection reaches no worker, causes no error, and must not extend the limit.
 
 #[path = "support/driver.rs"]
 mod driver;
@@ -14,8 +13,7 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// The least time that an attempt has to arrive before the cache is released, where it is sent within the
-/// limit.
+/// The minimum time between an attempt that is sent within the hold limit and the release of the cache.
 const MIN_ARRIVAL_TIME: Duration = Duration::from_millis(150);
 
 fn attempt_ended(attempt: u32, outcome: Outcome) -> DriverInput {
@@ -27,11 +25,11 @@
 }
 
 impl DriverHarness {
-    /// A driver with a request whose prefill has just completed and of which a decode attempt is in flight.
+    /// A driver with one request, whose prefill has just completed and whose decode attempt is in flight.
     async fn with_decode_attempt() -> DriverHarness {
         let driver = DriverHarness::start(settings(), 600_000_000).await;
         driver.end_attempt(0, Outcome::PrefillCompleted).await;
-        assert_eq!(driver.attempts(), 2);
+        assert_eq!(driver.attempt_count(), 2);
         driver
     }
 
@@ -40,11 +38,11 @@
         run_pending_tasks().await;
     }
 
-    fn attempts(&self) -> usize {
+    fn attempt_count(&self) -> usize {
         self.upstream.attempts.borrow().len()
     }
 
-    fn releases(&self) -> usize {
+    fn release_count(&self) -> usize {
         self.upstream.releases.borrow().len()
     }
 }
@@ -55,21 +53,21 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unanswered_attempt_does_not_hold_a_cache_past_its_limit() {
+async fn a_cache_is_released_at_its_hold_limit_despite_an_unanswered_attempt() {
     let scenario = async {
         let driver = DriverHarness::with_decode_attempt().await;
         advance_ms(640).await;
-        assert_eq!(driver.releases(), 0);
+        assert_eq!(driver.release_count(), 0);
         advance_ms(20).await;
-        assert_eq!(driver.releases(), 1);
+        assert_eq!(driver.release_count(), 1);
         advance_ms(2_000).await;
-        assert_eq!(driver.releases(), 1, "once is enough");
+        assert_eq!(driver.release_count(), 1, "the cache was released twice");
     };
     LocalSet::new().run_until(scenario).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_has_started_has_fetched_its_cache() {
+async fn a_cache_is_not_released_after_its_stream_has_started() {
     let scenario = async {
         let driver = DriverHarness::with_decode_attempt().await;
         advance_ms(100).await;
@@ -80,72 +78,72 @@
             stream,
         });
         advance_ms(2_000).await;
-        assert_eq!(driver.releases(), 0);
+        assert_eq!(driver.release_count(), 0);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against limits that restarted with each attempt that may not have reached its worker.
+/// Guards against a hold limit that restarts with each attempt that may not have reached its worker.
 #[rstest]
 #[case::that_timed_out(Outcome::TimedOut)]
 #[case::that_lost_its_connection(Outcome::ConnectionLost)]
 #[tokio::test(start_paused = true)]
-async fn the_limit_is_not_restarted_by_an_attempt(#[case] outcome: Outcome) {
+async fn the_hold_limit_is_not_restarted_by_an_attempt(#[case] outcome: Outcome) {
     let scenario = async {
         let driver = DriverHarness::with_decode_attempt().await;
         advance_ms(300).await;
         driver.end_attempt(1, outcome).await;
         advance_ms(360).await;
-        assert_eq!(driver.releases(), 1);
+        assert_eq!(driver.release_count(), 1);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// An answer proves that the attempt had arrived and was in flight until then.
+/// A response proves that the attempt had arrived and was in flight until then.
 #[tokio::test(start_paused = true)]
-async fn the_limit_is_restarted_by_an_answer() {
+async fn the_hold_limit_is_restarted_by_a_response() {
     let scenario = async {
         let driver = DriverHarness::with_decode_attempt().await;
         advance_ms(300).await;
         driver.end_attempt(1, Outcome::Rejected).await;
         advance_ms(600).await;
-        assert_eq!(driver.releases(), 0);
+        assert_eq!(driver.release_count(), 0);
         advance_ms(100).await;
-        assert_eq!(driver.releases(), 1);
+        assert_eq!(driver.release_count(), 1);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// A release must not overtake an attempt that is on its way: it would find no cache.
+/// Guards against a release that overtakes an attempt: the attempt would find no cache.
 #[tokio::test(start_paused = true)]
-async fn an_attempt_just_sent_has_time_to_arrive() {
+async fn an_attempt_sent_shortly_before_the_hold_limit_has_time_to_arrive() {
     let scenario = async {
         let driver = DriverHarness::with_decode_attempt().await;
         advance_ms(450).await;
         driver.end_attempt(1, Outcome::TimedOut).await;
-        assert_eq!(driver.attempts(), 3);
+        assert_eq!(driver.attempt_count(), 3);
         sleep(MIN_ARRIVAL_TIME - Duration::from_millis(10)).await;
-        assert_eq!(driver.releases(), 0);
+        assert_eq!(driver.release_count(), 0);
         advance_ms(70).await;
-        assert_eq!(driver.releases(), 1);
+        assert_eq!(driver.release_count(), 1);
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// After a release, a cache remains only if the attempt had arrived before it: its limit starts with the
-/// attempt's end.
+/// After a release, the cache still exists only if the attempt had arrived before the release. The hold limit
+/// then starts at the end of the attempt.
 #[tokio::test(start_paused = true)]
-async fn after_a_release_the_limit_starts_with_the_end_of_the_attempt() {
+async fn after_a_release_the_hold_limit_starts_at_the_end_of_the_attempt() {
     let scenario = async {
         let driver = DriverHarness::with_decode_attempt().await;
         advance_ms(660).await;
-        assert_eq!(driver.releases(), 1);
+        assert_eq!(driver.release_count(), 1);
         driver.end_attempt(1, Outcome::TimedOut).await;
-        assert_eq!(driver.attempts(), 3);
+        assert_eq!(driver.attempt_count(), 3);
         advance_ms(640).await;
-        assert_eq!(driver.releases(), 1);
+        assert_eq!(driver.release_count(), 1);
         advance_ms(20).await;
-        assert_eq!(driver.releases(), 2);
+        assert_eq!(driver.release_count(), 2);
     };
     LocalSet::new().run_until(scenario).await;
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: every request that was received is answered, and a request that crosses the close of
-//! its connection is neither reset nor forwarded.
+//! Graceful shutdown: every received request is answered, and a request that arrives while its connection is
+//! being closed is neither reset nor forwarded.
 
 mod support;
 
@@ -12,25 +12,25 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A router with a client whose request is being streamed: the decode worker has sent the first event, and
-/// waits.
+/// A router with a client whose response is being streamed. The decode worker has sent the first event, and
+/// waits before it sends the rest.
 struct PausedStream {
     client: BufReader<std::net::TcpStream>,
     router: RouterProcess,
     /// Lets the decode worker end the stream.
-    go_on: mpsc::Sender<()>,
+    resume: mpsc::Sender<()>,
     _workers: [Peer; 2],
 }
 
 impl PausedStream {
     fn start() -> PausedStream {
-        let (started, starts) = mpsc::channel();
-        let (go_on, gate) = mpsc::channel::<()>();
-        let (started, gate) = (Mutex::new(started), Mutex::new(gate));
+        let (start_sender, start_receiver) = mpsc::channel();
+        let (resume, gate) = mpsc::channel::<()>();
+        let (start_sender, gate) = (Mutex::new(start_sender), Mutex::new(gate));
         let decode_worker = Peer::start(move |_, conn| {
             conn.begin_stream();
             conn.delta("one");
-            started.lock().unwrap().send(()).unwrap();
+            start_sender.lock().unwrap().send(()).unwrap();
             let _ = gate.lock().unwrap().recv();
             conn.end_stream();
             true
@@ -40,28 +40,28 @@
         let router = RouterProcess::start(&file);
         let mut client = BufReader::new(router.connect());
         client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-        starts.recv().unwrap();
-        PausedStream { client, router, go_on, _workers: workers }
+        start_receiver.recv().unwrap();
+        PausedStream { client, router, resume, _workers: workers }
     }
 }
 
-/// Guards against a request lost because it was received in part when the closing phase began: it is
+/// Guards against the loss of a request that has been received in part when the closing phase begins. It is
 /// rejected, since the process may end before its deadline.
 #[rstest]
 #[case::in_its_head(20)]
 #[case::in_its_body(3)]
-fn a_request_received_in_part_at_the_closing_phase_is_rejected_and_not_forwarded(#[case] missing: usize) {
-    let (seen, messages) = mpsc::channel();
-    let seen = Mutex::new(seen);
+fn a_request_received_in_part_in_the_closing_phase_is_rejected_and_not_forwarded(#[case] missing: usize) {
+    let (line_sender, request_lines) = mpsc::channel();
+    let line_sender = Mutex::new(line_sender);
     let worker = Peer::start(move |message, _| {
-        seen.lock().unwrap().send(message.line.clone()).unwrap();
+        line_sender.lock().unwrap().send(message.line.clone()).unwrap();
         false
     });
     let router = RouterProcess::start(&operator_file(&[worker.address], &[worker.address], ""));
     let text = request("id-1", "send", "hello");
     let (first, rest) = text.split_at(text.len() - missing);
     let mut client = BufReader::new(router.connect());
-    // After one answer the connection is idle between two requests.
+    // After its first response the connection is idle.
     client.get_mut().write_all(HEALTH).unwrap();
     assert_eq!(Message::read(&mut client).unwrap().status(), 200);
     router.signal("-TERM");
@@ -75,17 +75,17 @@
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     assert_eq!(Counters(router.wait_for("stopped")).get("rejected_at_shutdown"), 1);
     drop(router);
-    assert_eq!(messages.try_iter().count(), 0);
+    assert_eq!(request_lines.try_iter().count(), 0);
 }
 
-/// Guards against the reset of a connection whose client writes a request at the moment of the close, and
-/// against forwarding a request that can't be answered any more.
+/// Guards against the reset of a connection whose client writes a request while the router closes it, and
+/// against forwarding a request whose response can no longer be sent.
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_reset_and_not_forwarded() {
-    let (seen, messages) = mpsc::channel();
-    let seen = Mutex::new(seen);
+fn a_request_that_races_with_the_close_of_an_idle_connection_is_not_reset_and_not_forwarded() {
+    let (line_sender, request_lines) = mpsc::channel();
+    let line_sender = Mutex::new(line_sender);
     let worker = Peer::start(move |message, conn| {
-        seen.lock().unwrap().send(message.line.clone()).unwrap();
+        line_sender.lock().unwrap().send(message.line.clone()).unwrap();
         conn.answer("202 Accepted", "", "{}");
         true
     });
@@ -103,18 +103,19 @@
     drop(client);
     assert_eq!(Counters(router.wait_for("stopped")).get("requests_received"), 0);
     drop(router);
-    assert_eq!(messages.try_iter().count(), 0);
+    assert_eq!(request_lines.try_iter().count(), 0);
 }
 
-/// Guards against a request lost with the close: one that had arrived after the streaming one is rejected.
+/// Guards against the loss of a pipelined request when its connection is closed: it is rejected after the
+/// streamed response.
 #[test]
 fn a_request_pipelined_after_a_streaming_one_is_rejected_after_it() {
-    let PausedStream { mut client, router, go_on, _workers } = PausedStream::start();
+    let PausedStream { mut client, router, resume, _workers } = PausedStream::start();
     client.fill_buf().unwrap();
     client.get_mut().write_all(request("id-2", "send", "hello").as_bytes()).unwrap();
     router.signal("-TERM");
     router.wait_for("stopping: idle connections are closed");
-    go_on.send(()).unwrap();
+    resume.send(()).unwrap();
     let answers = [Message::read(&mut client).unwrap(), Message::read(&mut client).unwrap()];
     assert_eq!((answers[0].status(), answers[0].whole), (200, true));
     assert_eq!((answers[1].status(), answers[1].header("connection")), (503, Some("close")));
@@ -122,22 +123,22 @@
     assert_eq!(["attempts_completed", "requests_received"].map(|name| counters.get(name)), [1, 1]);
 }
 
-/// Guards against a second signal that ends the process while a request is in flight.
+/// Guards against a second signal that terminates the process while a request is in flight.
 #[test]
-fn a_second_sigterm_does_not_cut_a_stream_off() {
-    let PausedStream { mut client, router, go_on, _workers } = PausedStream::start();
+fn a_second_sigterm_does_not_interrupt_a_stream() {
+    let PausedStream { mut client, router, resume, _workers } = PausedStream::start();
     for _ in 0..2 {
         router.signal("-TERM");
     }
     router.wait_for("stopping: idle connections are closed");
     router.signal("-TERM");
     router.signal("-INT");
-    go_on.send(()).unwrap();
+    resume.send(()).unwrap();
     assert!(Message::read(&mut client).unwrap().whole);
     assert_eq!(Counters(router.wait_for("stopped")).get("attempts_completed"), 1);
 }
 
-/// Guards against the loss of a finished stream's last part to a slow client when the process ends.
+/// Guards against a process that exits before a slow client has read the last part of a finished stream.
 #[test]
 fn the_last_bytes_of_a_finished_stream_reach_a_slow_client() {
     const EVENTS: usize = 200;
@@ -161,23 +162,23 @@
     router.wait_for("stopped");
 }
 
-/// Guards against the end of the process while a KV cache is held: its prefill is in flight for a client that
-/// has disconnected, where attempts may not be cancelled.
+/// Guards against a process that exits while a KV cache is held. The client has disconnected, but its prefill
+/// is still in flight because the settings do not allow cancellation.
 #[test]
-fn the_cache_of_a_prefill_is_released_before_the_process_ends() {
-    let (prefill, prefills) = mpsc::channel();
-    let (go_on, gate) = mpsc::channel::<()>();
-    let (released, releases) = mpsc::channel();
-    let script = Mutex::new((prefill, gate, released));
+fn the_cache_of_a_prefill_is_released_before_the_process_exits() {
+    let (prefill_sender, prefills) = mpsc::channel();
+    let (resume, gate) = mpsc::channel::<()>();
+    let (release_sender, releases) = mpsc::channel();
+    let channels = Mutex::new((prefill_sender, gate, release_sender));
     let worker = Peer::start(move |message, conn| {
         if message.line.starts_with("DELETE") {
-            script.lock().unwrap().2.send(message.line.clone()).unwrap();
+            channels.lock().unwrap().2.send(message.line.clone()).unwrap();
             conn.answer("204 No Content", "", "");
             return true;
         }
-        let script = script.lock().unwrap();
-        script.0.send(()).unwrap();
-        let _ = script.1.recv();
+        let (prefill_sender, gate, _) = &*channels.lock().unwrap();
+        prefill_sender.send(()).unwrap();
+        let _ = gate.recv();
         conn.answer("202 Accepted", "", "{}");
         true
     });
@@ -189,21 +190,21 @@
     drop(client);
     router.signal("-TERM");
     router.wait_for("stopping: idle connections are closed, 0 are open");
-    go_on.send(()).unwrap();
+    resume.send(()).unwrap();
     router.wait_for("stopped");
     assert!(releases.try_iter().any(|line| line.starts_with("DELETE /internal/reservations/id-1")));
 }
 
-/// Everything that a server writes until it closes.
+/// Reads everything that the server writes until it closes the connection.
 async fn read_to_close(client: &mut TcpStream) -> String {
     let mut text = Vec::new();
     client.read_to_end(&mut text).await.unwrap();
     String::from_utf8(text).unwrap()
 }
 
-/// Guards against connections that are reset in the accept queue when the listener closes.
+/// Guards against a reset of connections in the accept queue when the listener closes.
 #[tokio::test]
-async fn connections_in_the_accept_queue_at_the_closing_phase_are_answered() {
+async fn connections_in_the_accept_queue_in_the_closing_phase_are_answered() {
     let scenario = async {
         let server = Server::start().await;
         let mut clients = Vec::new();
@@ -212,7 +213,7 @@
             client.write_all(HEALTH).await.unwrap();
             clients.push(client);
         }
-        // They wait in the accept queue: nothing has been accepted yet.
+        // The connections are in the accept queue: none has been accepted yet.
         server.shutdown.send(ShutdownPhase::Closing).unwrap();
         server.listener.accept(server.socket).await;
         for client in &mut clients {
@@ -223,7 +224,8 @@
     tokio::task::LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a close despite a request that has arrived but that the async runtime has not reported yet.
+/// Guards against the close of a connection whose next request has arrived but has not been reported by the
+/// async runtime yet.
 #[tokio::test]
 async fn a_request_that_has_arrived_when_an_idle_connection_is_closed_is_answered() {
     let scenario = async {
@@ -231,9 +233,9 @@
         let mut client = TcpStream::connect(socket.local_addr().unwrap()).await.unwrap();
         tokio::task::spawn_local(listener.accept(socket));
         client.write_all(HEALTH).await.unwrap();
-        let mut first = [0; 256];
-        assert!(client.read(&mut first).await.unwrap() > 0);
-        // Without an await in between: the server learns of the phase before it can learn of the bytes.
+        let mut first_response = [0; 256];
+        assert!(client.read(&mut first_response).await.unwrap() > 0);
+        // There is no await in between, so the server sees the closing phase before it can see the bytes.
         let mut blocking = client.into_std().unwrap();
         blocking.set_nonblocking(false).unwrap();
         shutdown.send(ShutdownPhase::Closing).unwrap();
@@ -246,9 +248,9 @@
     tokio::task::LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a SIGHUP that breaks off a graceful shutdown.
+/// Guards against a SIGHUP that interrupts a graceful shutdown.
 #[test]
-fn sighup_while_stopping_does_no_harm() {
+fn sighup_during_a_shutdown_reloads_the_configuration() {
     let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
     router.signal("-TERM");
     router.wait_for("stopping");
@@ -263,7 +265,7 @@
 fn sigterm_finishes_requests_in_flight_and_exits_with_success() {
     let (started, starts) = shared_channel();
     let lock = Arc::new(Mutex::new(()));
-    let paused = lock.lock().unwrap();
+    let stream_paused = lock.lock().unwrap();
     let gate = lock.clone();
     let decode_worker = Peer::start(move |_, conn| {
         conn.begin_stream();
@@ -280,16 +282,16 @@
     let mut idle = router.connect();
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     starts.recv().unwrap();
-    // The router has started to answer, too.
+    // The router has started to stream the response.
     client.fill_buf().unwrap();
     router.signal("-USR1");
     assert_eq!(Counters(router.wait_for("counters:")).get("responses_streamed"), 1);
     router.signal("-TERM");
     router.wait_for("stopping");
     assert!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("503"));
-    // The stream goes on only after idle connections are closed.
+    // The stream is resumed only after idle connections are closed.
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
-    drop(paused);
+    drop(stream_paused);
     assert!(Message::read(&mut client).unwrap().whole);
     let line = router.wait_for("stopped");
     assert_eq!(Counters(line).get("attempts_completed"), 1);
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -1,4 +1,4 @@
-//! A driver between a policy and an upstream client that only records the calls made through it.
+//! A driver whose upstream client only records the calls made through it.
 #![allow(dead_code)]
 
 use llm_router::interface::*;
@@ -42,11 +42,11 @@
     }
 }
 
-/// A driver with a request of which an attempt is in flight.
+/// A driver with one request, of which an attempt is in flight.
 pub struct DriverHarness {
     pub upstream: Rc<RecordingUpstream>,
     pub client: PendingResponse,
-    /// The driver runs for as long as there is a handle.
+    /// Keeps the driver running.
     pub handle: DriverHandle,
 }
 
@@ -76,8 +76,8 @@
         DriverHarness { upstream, client, handle }
     }
 
-    /// How the first attempt was cancelled: `Empty` if it was not, `Closed` if it was.
-    pub fn cancelled(&self) -> TryRecvError {
+    /// The cancellation state of the first attempt: `Closed` if it was cancelled, `Empty` otherwise.
+    pub fn cancellation(&self) -> TryRecvError {
         self.upstream.attempts.borrow_mut()[0].cancelled.try_recv().unwrap_err()
     }
 }
@@ -108,8 +108,8 @@
     }
 }
 
-/// Lets all tasks run that can; everything is on one thread. By then the driver has handled the inputs that
-/// were submitted.
+/// Runs all tasks that are ready; everything is on one thread. Afterwards the driver has handled all
+/// submitted inputs.
 pub async fn run_pending_tasks() {
     for _ in 0..100 {
         tokio::task::yield_now().await;
