--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Adds a request to the table, sets its answer deadline, and notifies the policy.
+    /// Adds a request to the table, sets its response deadline, and notifies the policy.
     fn request_received(
         &mut self,
         spec: RequestSpec,
@@ -73,7 +73,7 @@
         let (number, deadline) = (spec.request, spec.deadline);
         let request = ActiveRequest::new(number, forwarded, deadline, idempotency, responder);
         self.requests.insert(number, request);
-        self.timers.push(deadline + self.settings.answer_grace, TimerEntry::AnswerDeadline(number));
+        self.timers.push(deadline + self.settings.answer_grace, TimerEntry::ResponseDeadline(number));
         self.timers.prune(&self.requests);
         self.notify_policy(Event::RequestReceived(spec));
     }
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that the driver enforces independently of the policy: the answer deadline of each request and the
+//! Limits that the driver enforces independently of the policy: the response deadline of each request and the
 //! hold limit of KV caches.
 
 use super::Driver;
@@ -11,22 +11,22 @@
 pub(super) enum DriverEndReason {
     /// The client has disconnected.
     ClientDisconnected,
-    /// The policy has not ended the request by its answer deadline.
-    AnswerDeadlineExceeded,
+    /// The policy has not ended the request by its response deadline.
+    ResponseDeadlineExceeded,
 }
 
 impl Driver {
-    /// Ends a request that has no final response by its answer deadline. The policy may have lost track of it
+    /// Ends a request that has no final response by its response deadline. The policy may have lost track of it
     /// in a panic.
-    pub(super) fn enforce_answer_deadline(&mut self, request: RequestId) {
+    pub(super) fn enforce_response_deadline(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(request).filter(|active| !active.is_answered()) else {
             return;
         };
-        let detail = "no final response by the answer deadline; ended by the driver";
+        let detail = "no final response by the response deadline; ended by the driver";
         self.counters.violations.record(Invariant::FinalResponse, active.id(), detail);
         active.cancel_all();
         self.release_cache(request);
-        self.end_request(request, DriverEndReason::AnswerDeadlineExceeded);
+        self.end_request(request, DriverEndReason::ResponseDeadlineExceeded);
     }
 
     /// Releases the KV cache of a request if its hold limit has expired.
@@ -38,9 +38,12 @@
             self.timers.push(release_due, TimerEntry::CacheHoldLimit(request));
             return;
         }
-        let attempts = if active.has_attempt_in_flight() { ", attempt unanswered" } else { "" };
+        let attempt_note = if active.has_attempt_in_flight() { ", attempt unanswered" } else { "" };
         let holder = active.held_cache().holder().map_or("an unknown worker", |worker| &worker.0).to_owned();
-        log::debug!("request {}: the KV cache at {holder} has reached its hold limit{attempts}", active.id());
+        log::debug!(
+            "request {}: the KV cache at {holder} has reached its hold limit{attempt_note}",
+            active.id()
+        );
         self.counters.cache_releases_forced.increment();
         active.held_cache().mark_released();
         self.start_release(request);
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -122,7 +122,7 @@
                     self.record_lag(due, now);
                     self.notify_policy(Event::Timer(timer));
                 }
-                TimerEntry::AnswerDeadline(request) => self.enforce_answer_deadline(request),
+                TimerEntry::ResponseDeadline(request) => self.enforce_response_deadline(request),
                 TimerEntry::CacheHoldLimit(request) => self.enforce_cache_hold_limit(request, now),
             }
         }
@@ -148,7 +148,7 @@
     }
 
     /// Passes an event to the policy and executes the resulting actions. A panic in the policy is caught and
-    /// affects this event only: a request that the policy loses track of is ended at its answer deadline.
+    /// affects this event only: a request that the policy loses track of is ended at its response deadline.
     fn notify_policy(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         let now = self.clock.now();
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -14,7 +14,7 @@
     /// A timer of the policy.
     Policy(TimerId),
     /// The deadline for the final response of a request, enforced independently of the policy.
-    AnswerDeadline(RequestId),
+    ResponseDeadline(RequestId),
     /// The hold limit of the KV cache that is held for a request.
     CacheHoldLimit(RequestId),
 }
@@ -47,7 +47,7 @@
         self.entries.pop().map(|Reverse(entry)| entry)
     }
 
-    /// Removes the entries of finished requests once they may be the majority. Answer deadlines stay in the
+    /// Removes the entries of finished requests once they may be the majority. Response deadlines stay in the
     /// queue until they are due, which may take minutes, while most requests end much earlier: without
     /// pruning, memory usage would depend on the longest deadline that clients choose.
     pub fn prune(&mut self, requests: &RequestTable) {
@@ -56,7 +56,7 @@
         }
         self.entries.retain(|Reverse((_, entry))| match entry {
             TimerEntry::Policy(_) => true,
-            TimerEntry::AnswerDeadline(request) | TimerEntry::CacheHoldLimit(request) => {
+            TimerEntry::ResponseDeadline(request) | TimerEntry::CacheHoldLimit(request) => {
                 requests.contains(*request)
             }
         });
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -31,7 +31,7 @@
 }
 
 /// Guards against an attempt that starts after the final response of its request. The response comes from the
-/// policy or, if the policy decides too late, from the driver at the answer deadline.
+/// policy or, if the policy decides too late, from the driver at the response deadline.
 #[rstest]
 #[case::by_the_policy(60_000_000)]
 #[case::by_the_driver(0)]
