--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,8 +6,8 @@
 //! only through an [`exchange`](runtime::exchange).
 //!
 //! [`Policy`] is a state machine without I/O: the caller passes events with their time to it, and executes
-//! the actions that it returns. The same sequence of events always gives the same actions. [`interface`]
-//! defines settings, events and actions.
+//! the actions that it appends to the caller's list. The same sequence of events always gives the same
+//! actions. [`interface`] defines settings, events and actions.
 //!
 //! ```
 //! use llm_router::Policy;
@@ -37,11 +37,24 @@
 //! let endpoints = vec![endpoint("a:1", "prefill"), endpoint("b:1", "decode")];
 //! policy.handle(0, Event::EndpointsUpdated { kind: UpdateKind::Snapshot, endpoints }, &mut actions);
 //!
-//! let request = RequestSpec { request: RequestId(1), deadline: 4_000_000, session: None, prefix: None,
-//! prefix_tokens: 0, prompt_tokens: 900, max_tokens: 200, expected_decode_time: None, class: "chat".into(),
-//! tenant: None, }; policy.handle(1_000, Event::RequestReceived(request), &mut actions); let sent_to_prefill
-//! = actions.iter().any(|a| matches!(a, Action::Send { worker, .. } if &*worker.0 == "a:1"));
-//! assert!(sent_to_prefill); ```
+//! let request = RequestSpec {
+//!     request: RequestId(1),
+//!     deadline: 4_000_000,
+//!     session: None,
+//!     prefix: None,
+//!     prefix_tokens: 0,
+//!     prompt_tokens: 900,
+//!     max_tokens: 200,
+//!     expected_decode_time: None,
+//!     class: "chat".into(),
+//!     tenant: None,
+//! };
+//! policy.handle(1_000, Event::RequestReceived(request), &mut actions);
+//! let sent_to_prefill = actions
+//!     .iter()
+//!     .any(|action| matches!(action, Action::Send { worker, .. } if &*worker.0 == "a:1"));
+//! assert!(sent_to_prefill);
+//! ```
 
 pub mod config;
 pub mod frontend;
