--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -25,8 +25,8 @@
 /// How often expired pooled connections and expired outcomes of tool calls are removed.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until SIGTERM or SIGINT, and then shuts down gracefully. Blocks the thread, on which the whole
-/// router runs.
+/// Serves until SIGTERM or SIGINT, and then shuts down gracefully. Blocks the calling thread, on which the
+/// whole router runs.
 ///
 /// # Errors
 /// The router could not be started. Once it serves, it ends only on a signal.
--- a/src/runtime/exchange/mod.rs
+++ b/src/runtime/exchange/mod.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// The final response in the future. Dropping it, or the future of one of its methods, reports the client as
-/// disconnected.
+/// The receiving end of a final response that has not been sent yet. Dropping it, or the future of one of its
+/// methods, reports the client as disconnected.
 pub struct PendingResponse {
     response: oneshot::Receiver<FinalResponse>,
     guard: DisconnectGuard,
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -22,7 +22,7 @@
     holder: Option<WorkerId>,
     /// Whether the cache was released at its hold limit. An attempt that arrived earlier may still fetch it.
     is_released: bool,
-    /// Whether the last attempt has not ended.
+    /// Whether an attempt has been sent since the last one ended.
     is_attempt_unanswered: bool,
 }
 
