--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -52,7 +52,8 @@
         self.counters.requests_received.increment();
         let now = self.clock.now();
         log::debug!(
-            "request {}: received as number {}, queued for {} us, {} ms until deadline, class {}, {} prompt tokens",
+            "request {}: received as number {}, queued for {} us, {} ms until deadline, class {}, \
+             {} prompt tokens",
             forwarded.id,
             spec.request.0,
             now.saturating_sub(received_at),
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -16,8 +16,8 @@
 }
 
 impl Driver {
-    /// Ends a request that has no final response by its response deadline. The policy may have lost track of it
-    /// in a panic.
+    /// Ends a request that has no final response by its response deadline. The policy may have lost track of
+    /// it in a panic.
     pub(super) fn enforce_response_deadline(&mut self, request: RequestId) {
         let Some(active) = self.requests.get_mut(request).filter(|active| !active.is_answered()) else {
             return;
