--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -53,7 +53,7 @@
 ) -> Result<CompletedStream, Outcome> {
     let OpenedStream { first_event, events, content_type, has_marked_end } = stream;
     let (sender, response) = response_stream(content_type);
-    let (request, index) = (attempt.request, attempt.attempt);
+    let (request, index) = (attempt.request, attempt.index);
     client.driver.submit(DriverInput::StreamStarted { request, attempt: index, stream: response });
     let mut relay = StreamRelay {
         client,
@@ -130,7 +130,7 @@
                         Ok(Ok(Some(part))) => return Ok(Some(part)),
                         Ok(Ok(None)) if self.is_complete() => return Ok(None),
                         // A decode worker that waits for a tool's result has nothing to send.
-                        Err(_) if self.sender.paused.get() => self.last_event = Instant::now(),
+                        Err(_) if self.sender.awaiting_reply.get() => self.last_event = Instant::now(),
                         Ok(Ok(None)) => return Err(self.record_fault(StreamFault::EndedEarly)),
                         Ok(Err(error)) => return Err(self.record_fault(error.into())),
                         Err(_) => return Err(self.record_fault(StreamFault::NoEventInTime)),
@@ -161,7 +161,7 @@
         tokio::task::spawn_local(async move {
             let response = tokio::time::timeout(REPLY_TIMEOUT, client.call(call)).await;
             let is_taken = matches!(response, Ok(Ok(UnaryResponse { status, .. })) if status.is_success());
-            let _ = reply.done.send(is_taken);
+            let _ = reply.accepted.send(is_taken);
         });
     }
 }
