--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -5,7 +5,7 @@
 use super::protocol::ToolResponse;
 use crate::config::ToolSettings;
 use crate::interface::WorkerId;
-use crate::net::upstream::pool::{ConnectError, Connection, Pool, PoolLimits, TRAILING_BYTES_WAIT, Target};
+use crate::net::upstream::pool::{ConnectError, Connection, Pool, PoolLimits, REUSE_DELAY, Target};
 use crate::runtime::counters::Counters;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -96,7 +96,7 @@
             sockets: settings.max_concurrent_calls,
             connect_timeout,
             idle_timeout: IDLE_TIMEOUT,
-            trailing_bytes_wait: TRAILING_BYTES_WAIT,
+            reuse_delay: REUSE_DELAY,
         };
         ToolClient {
             address: settings.address,
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -25,7 +25,7 @@
 const MAX_IDLE_PER_WORKER: usize = 32;
 /// A connection is not reused for this long after a response: what a worker still writes behind it arrives
 /// within this, and would be taken for the response to the next request.
-pub const TRAILING_BYTES_WAIT: Duration = Duration::from_millis(25);
+pub const REUSE_DELAY: Duration = Duration::from_millis(25);
 /// No connection is reused for this long after a reused one was found dead.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(60);
 
@@ -47,8 +47,8 @@
     pub connect_timeout: Duration,
     /// How long an idle connection may still be reused.
     pub idle_timeout: Duration,
-    /// How long a connection is not reused after a response, see [`TRAILING_BYTES_WAIT`].
-    pub trailing_bytes_wait: Duration,
+    /// How long a connection is not reused after a response, see [`REUSE_DELAY`].
+    pub reuse_delay: Duration,
 }
 
 /// A pool of connections: a tower service from a target to a connection. Clones share the same connections.
@@ -157,7 +157,7 @@
     fn take_idle(&self, target: &Target) -> Option<Connection> {
         let mut idle = self.shared.idle.borrow_mut();
         let connections = idle.get_mut(&target.worker)?;
-        let wait = self.shared.limits.trailing_bytes_wait;
+        let wait = self.shared.limits.reuse_delay;
         // They are ordered by their return, so those that have waited for long enough come first.
         let waited = connections.iter().take_while(|idle| idle.since.elapsed() >= wait).count();
         for index in (0..waited).rev() {
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -15,7 +15,7 @@
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::socket::listen;
 use crate::net::upstream::client::UpstreamClient;
-use crate::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
+use crate::net::upstream::pool::{Pool, PoolLimits, REUSE_DELAY};
 use crate::runtime::counters::Counters;
 use crate::runtime::{Clock, Driver, DriverHandle};
 use std::cell::Cell;
@@ -127,7 +127,7 @@
             sockets: sockets.upstream,
             connect_timeout,
             idle_timeout: config.idle_connection_timeout / IDLE_TIME_DIVISOR,
-            trailing_bytes_wait: TRAILING_BYTES_WAIT,
+            reuse_delay: REUSE_DELAY,
         };
         SharedParts {
             connect_timeout,
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -47,12 +47,8 @@
         let counters = Rc::<Counters>::default();
         // No test lasts for as long as this, so none of its connections is reused.
         let timeout = Duration::from_secs(10);
-        let limits = PoolLimits {
-            sockets,
-            connect_timeout: timeout,
-            idle_timeout: 2 * timeout,
-            trailing_bytes_wait: timeout,
-        };
+        let limits =
+            PoolLimits { sockets, connect_timeout: timeout, idle_timeout: 2 * timeout, reuse_delay: timeout };
         let client = UpstreamClient {
             directory,
             pool: Pool::new(limits, counters.clone()),
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -96,7 +96,7 @@
     for i in 0..10 {
         assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200, "request {i}");
         // A pooled connection is reused only once it is known that no bytes trail the last response.
-        std::thread::sleep(2 * llm_router::net::upstream::pool::TRAILING_BYTES_WAIT);
+        std::thread::sleep(2 * llm_router::net::upstream::pool::REUSE_DELAY);
     }
     assert_eq!(router.stop().get("stale_connections"), 1);
 }
