--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -93,7 +93,7 @@
     /// A client without connections yet.
     pub fn new(settings: &ToolSettings, connect_timeout: Duration, counters: Rc<Counters>) -> Self {
         let limits = PoolLimits {
-            sockets: settings.max_concurrent_calls,
+            max_connections: settings.max_concurrent_calls,
             connect_timeout,
             idle_timeout: IDLE_TIMEOUT,
             reuse_delay: REUSE_DELAY,
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// The most connections at once, idle ones included.
-    pub sockets: usize,
+    pub max_connections: usize,
     /// A connection that is not established within this has failed.
     pub connect_timeout: Duration,
     /// How long an idle connection may still be reused.
@@ -83,7 +83,7 @@
     pub fn new(limits: PoolLimits, counters: Rc<Counters>) -> Self {
         let shared = PoolState {
             idle: RefCell::default(),
-            permits: Arc::new(Semaphore::new(limits.sockets)),
+            permits: Arc::new(Semaphore::new(limits.max_connections)),
             limits,
             suspicious_until: Cell::default(),
             counters,
@@ -129,7 +129,7 @@
     }
 
     /// How many connections may still be opened.
-    pub fn free_sockets(&self) -> usize {
+    pub fn available_connections(&self) -> usize {
         self.shared.permits.available_permits()
     }
 
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -124,7 +124,7 @@
         let connect_timeout = Duration::from_micros(config.settings.connect_timeout);
         let connect_timeout = connect_timeout.max(MIN_CONNECT_TIMEOUT);
         let limits = PoolLimits {
-            sockets: sockets.upstream,
+            max_connections: sockets.upstream,
             connect_timeout,
             idle_timeout: config.idle_connection_timeout / IDLE_TIME_DIVISOR,
             reuse_delay: REUSE_DELAY,
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -67,7 +67,7 @@
             upstream.cancel = None;
         }
         assert_eq!(upstream.next_outcome().await, expected);
-        while upstream.client.pool.free_sockets() < 4 {
+        while upstream.client.pool.available_connections() < 4 {
             tokio::task::yield_now().await;
         }
         let received = worker.received();
@@ -117,7 +117,7 @@
             tokio::task::yield_now().await;
         }
         assert_eq!(Rc::strong_count(&request), 1, "the release goes on");
-        assert_eq!(upstream.client.pool.free_sockets(), 1, "the call still connects");
+        assert_eq!(upstream.client.pool.available_connections(), 1, "the call still connects");
     })
     .await;
 }
@@ -136,7 +136,7 @@
         }
         upstream.cancel = None;
         assert_eq!(upstream.next_outcome().await, Outcome::Cancelled);
-        assert!(!begun.get() && upstream.client.pool.free_sockets() == 1);
+        assert!(!begun.get() && upstream.client.pool.available_connections() == 1);
     })
     .await;
 }
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -36,7 +36,7 @@
 
 impl UpstreamHarness {
     /// A client that knows these workers and may open this many connections.
-    pub fn start(workers: &[(&str, SocketAddr)], sockets: usize) -> UpstreamHarness {
+    pub fn start(workers: &[(&str, SocketAddr)], max_connections: usize) -> UpstreamHarness {
         let (driver, inputs) = DriverHandle::channel(Clock::start());
         let directory = Rc::<Directory>::default();
         directory.apply(&EndpointUpdate {
@@ -47,8 +47,12 @@
         let counters = Rc::<Counters>::default();
         // No test lasts for as long as this, so none of its connections is reused.
         let timeout = Duration::from_secs(10);
-        let limits =
-            PoolLimits { sockets, connect_timeout: timeout, idle_timeout: 2 * timeout, reuse_delay: timeout };
+        let limits = PoolLimits {
+            max_connections,
+            connect_timeout: timeout,
+            idle_timeout: 2 * timeout,
+            reuse_delay: timeout,
+        };
         let client = UpstreamClient {
             directory,
             pool: Pool::new(limits, counters.clone()),
