--- a/src/net/upstream/client.rs
+++ b/src/net/upstream/client.rs
@@ -1,4 +1,4 @@
-//! The upstream client: workers' addresses, connections to them, and the driver to report to.
+//! The upstream client, with the directory of workers, the connection pool and the handle of the driver.
 
 use crate::interface::{LoadReporting, WorkerId};
 use crate::net::discovery::Directory;
@@ -9,31 +9,31 @@
 use tokio::sync::Notify;
 use tower::{Service, ServiceExt};
 
-/// The upstream side of the router: an [`Outbound`](crate::runtime::Outbound) for the driver, and a tower service for single calls to
-/// workers. Clones share the same directory, pool and counters.
+/// The upstream client: an [`Outbound`](crate::runtime::Outbound) for the driver, and a tower service for
+/// unary calls to workers. Clones share the same directory, pool and counters.
 #[derive(Clone)]
 pub struct UpstreamClient {
     /// The addresses and states of the workers.
     pub directory: Rc<Directory>,
-    /// Connections to them.
+    /// The connections to the workers.
     pub pool: Pool,
-    /// Where the results of attempts and calls are reported.
+    /// Receives the results of attempts and calls.
     pub driver: DriverHandle,
-    /// When workers report their load.
+    /// How workers report their load.
     pub load_reporting: LoadReporting,
     /// The router's counters.
     pub counters: Rc<Counters>,
-    /// Notified when the driver wants the complete endpoint list.
+    /// Notified when the driver requests the complete endpoint list.
     pub poll_requested: Rc<Notify>,
 }
 
 impl UpstreamClient {
-    /// Where to connect for a worker; `None` if no address is known.
+    /// The connection target of a worker; `None` if no address is known.
     pub(super) fn target(&self, worker: &WorkerId) -> Option<Target> {
         Some(Target { worker: worker.clone(), address: self.directory.address(worker)? })
     }
 
-    /// A connection to a worker from the pool, or a new one. Dropping the future abandons the connect.
+    /// Gets a connection from the pool, reused or new. Dropping the future aborts a connect in progress.
     pub(super) async fn connect(&self, target: &Target) -> Result<Connection, ConnectError> {
         self.pool.clone().ready().await?.call(target.clone()).await
     }
--- a/src/net/upstream/event_stream.rs
+++ b/src/net/upstream/event_stream.rs
@@ -1,54 +1,55 @@
-//! A worker's stream of server-sent events, checked event by event.
+//! Validates a worker's stream of server-sent events before it is forwarded.
 //!
-//! A stream may be corrupted after any byte: a chunk whose size is wrong makes chunk heads look like data,
-//! and an oversized chunk is followed by whatever the worker writes next. The first bytes that are no event
-//! end the stream here, before they are forwarded. Bytes that are forwarded are not changed.
+//! A stream may be corrupted after any byte: a wrong chunk size makes chunk headers part of the data, and one
+//! that is too large also makes the worker's later output part of the data. The stream fails at the first
+//! line that is not valid in an event, and the block with that line is not forwarded. Forwarded bytes are not
+//! changed.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// The longest event, and the most that may precede the first one.
+/// The maximum length of an event, and of the comments before the first event.
 const MAX_EVENT_BYTES: usize = 128 * 1024;
 
-/// Why a stream can't go on.
+/// Why a stream can't be read further.
 #[derive(Debug, thiserror::Error)]
 pub enum EventStreamError {
-    /// The connection broke, or the body's framing is invalid.
-    #[error("the response body broke: {0}")]
+    /// The connection failed, or the body's framing is invalid.
+    #[error("failed to read the response body: {0}")]
     Body(#[from] hyper::Error),
-    /// The body holds a line that is no part of an event.
-    #[error("the response body is no stream of events")]
-    NotAnEvent,
-    /// An event is longer than any that is expected.
-    #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
+    /// A line is not valid in an event.
+    #[error("invalid line in the event stream")]
+    InvalidLine,
+    /// An event, or the comments before the first event, exceed [`MAX_EVENT_BYTES`].
+    #[error("event is longer than {MAX_EVENT_BYTES} bytes")]
     EventTooLong,
 }
 
-/// Whether a response body is checked to consist of events.
+/// Whether a response body is validated as an event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventCheck {
-    /// Each line must belong to an event or a comment.
+pub enum EventValidation {
+    /// Each line must belong to an event or be a comment.
     Enforced,
-    /// The body has another content type and is forwarded as it comes.
+    /// The body has another content type and is forwarded as it arrives.
     Skipped,
 }
 
-/// The events of one response.
+/// The event stream of one response.
 pub struct EventStream {
     body: Incoming,
-    check: EventCheck,
-    checker: EventChecker,
+    validation: EventValidation,
+    validator: EventValidator,
 }
 
 impl EventStream {
-    /// The events of this body.
-    pub fn new(body: Incoming, check: EventCheck) -> Self {
-        EventStream { body, check, checker: EventChecker::default() }
+    /// Reads the event stream from a response body.
+    pub fn new(body: Incoming, validation: EventValidation) -> Self {
+        EventStream { body, validation, validator: EventValidator::default() }
     }
 
-    /// Everything up to the end of the first event; `None` if the stream ends before one. Comments are not
-    /// events: until there is an event, nothing has been answered.
+    /// Reads up to the end of the first event, and returns it with the comments before it; `None` if the
+    /// stream ends without an event. Comments do not count as the start of an answer.
     ///
     /// # Errors
     /// The stream is corrupted before its first event.
@@ -69,87 +70,90 @@
         Ok(None)
     }
 
-    /// The next complete events or comments as they came, one or more; `None` at the stream's end.
+    /// Reads the next part, one or more complete events or comments; `None` at the end of the stream.
     ///
-    /// Dropping the future loses nothing: the next call continues where it stopped.
+    /// Cancel safe: no data is lost if the future is dropped.
     ///
     /// # Errors
-    /// The stream is corrupted from here on.
+    /// The stream is corrupted.
     pub async fn next_part(&mut self) -> Result<Option<StreamPart>, EventStreamError> {
         while let Some(frame) = self.body.frame().await {
             let Ok(data) = frame?.into_data() else { continue };
-            let part = match self.check {
-                EventCheck::Enforced => self.checker.push(data)?,
-                EventCheck::Skipped => StreamPart { bytes: data, has_event: true },
+            let part = match self.validation {
+                EventValidation::Enforced => self.validator.push(data)?,
+                EventValidation::Skipped => StreamPart { bytes: data, has_event: true },
             };
             if !part.bytes.is_empty() {
                 return Ok(Some(part));
             }
         }
-        // The last event may lack the blank line behind it.
-        let bytes = self.checker.finish()?;
+        // The last event may lack its terminating blank line.
+        let bytes = self.validator.finish()?;
         Ok(Some(StreamPart { bytes, has_event: true }).filter(|part| !part.bytes.is_empty()))
     }
 }
 
-/// A part of a stream that ends at the end of a block of lines.
+/// A part of a stream: one or more blocks of lines, each terminated by a blank line, or the rest of a stream
+/// at its end.
 #[derive(Debug)]
 pub struct StreamPart {
-    /// Its bytes, as they came.
+    /// The unchanged bytes from the worker.
     pub bytes: Bytes,
-    /// Whether it contains an event. Blocks that consist of comments are no events.
+    /// Whether the part contains an event. A block without a data field, such as one of comments, is not an
+    /// event.
     pub has_event: bool,
 }
 
-/// Collects bytes until they make complete events, and checks them line by line. The bytes stay as they are.
+/// Splits a stream into blocks that end with a blank line, and validates each line.
 #[derive(Default)]
-struct EventChecker {
-    /// Bytes that do not make a complete block yet.
+struct EventValidator {
+    /// The start of a block whose end has not arrived.
     buffered: BytesMut,
-    /// Whether the block that has not ended yet has data.
+    /// Whether the buffered block has a data field.
     has_data: bool,
-    /// Bytes at the start of `buffered` that have been checked: complete lines.
-    checked: usize,
+    /// The length of the validated lines at the start of `buffered`.
+    validated: usize,
 }
 
-impl EventChecker {
-    /// Adds bytes, and takes out all blocks that are complete with them.
+impl EventValidator {
+    /// Appends `data`, and removes and returns all blocks that are now complete.
     fn push(&mut self, data: Bytes) -> Result<StreamPart, EventStreamError> {
         self.buffered.extend_from_slice(&data);
         let (mut complete, mut has_event) = (0, false);
-        while let Some(length) = self.buffered[self.checked..].iter().position(|b| *b == b'\n') {
-            let line = &self.buffered[self.checked..self.checked + length];
+        while let Some(length) = self.buffered[self.validated..].iter().position(|b| *b == b'\n') {
+            let line = &self.buffered[self.validated..self.validated + length];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
-            if !is_field(line) {
-                return Err(EventStreamError::NotAnEvent);
+            if !is_valid_line(line) {
+                return Err(EventStreamError::InvalidLine);
             }
             let (ends_block, has_data) = (line.is_empty(), line.starts_with(b"data"));
-            self.checked += length + 1;
+            self.validated += length + 1;
             self.has_data |= has_data;
             if ends_block {
-                complete = self.checked;
+                complete = self.validated;
                 has_event |= std::mem::take(&mut self.has_data);
             }
         }
         if self.buffered.len() - complete > MAX_EVENT_BYTES {
             return Err(EventStreamError::EventTooLong);
         }
-        self.checked -= complete;
+        self.validated -= complete;
         Ok(StreamPart { bytes: self.buffered.split_to(complete).freeze(), has_event })
     }
 
-    /// Takes out what is left at the stream's end.
+    /// Removes and returns the remaining bytes at the end of the stream.
     fn finish(&mut self) -> Result<Bytes, EventStreamError> {
         let rest = self.buffered.split().freeze();
-        let last_line = &rest[std::mem::take(&mut self.checked)..];
-        if is_field(last_line) { Ok(rest) } else { Err(EventStreamError::NotAnEvent) }
+        let last_line = &rest[std::mem::take(&mut self.validated)..];
+        if is_valid_line(last_line) { Ok(rest) } else { Err(EventStreamError::InvalidLine) }
     }
 }
 
-/// Whether a line may stand in an event: a field that the standard names, a comment or a blank line.
-fn is_field(line: &[u8]) -> bool {
+/// Whether a line is valid in an event stream: a field of the server-sent events standard, a comment or a
+/// blank line.
+fn is_valid_line(line: &[u8]) -> bool {
     let name = line.split(|b| *b == b':').next().unwrap_or_default();
-    // A comment has no name before its colon, a blank line nothing at all.
+    // The field name of a comment (": text") and of a blank line is empty.
     matches!(name, b"" | b"data" | b"event" | b"id" | b"retry") && std::str::from_utf8(line).is_ok()
 }
 
--- a/src/net/upstream/forward.rs
+++ b/src/net/upstream/forward.rs
@@ -1,4 +1,4 @@
-//! The form in which a client's request is forwarded to workers.
+//! Builds the HTTP request that is forwarded to a worker.
 
 use crate::interface::Micros;
 use crate::net::upstream::call::WORKER_HOST;
@@ -8,10 +8,10 @@
 use hyper::Request;
 use hyper::header::HeaderValue;
 
-/// The request as a worker receives it, with the time that remains until its deadline.
+/// Builds the request for a worker, with the `remaining` time until its deadline in a header.
 ///
 /// # Errors
-/// The request's target or id can't be written in HTTP.
+/// The request's target or id is not valid in an HTTP request.
 pub(super) fn forward_request(
     forwarded: &ForwardedRequest,
     remaining: Micros,
--- a/src/net/upstream/health.rs
+++ b/src/net/upstream/health.rs
@@ -1,4 +1,4 @@
-//! Health checks of workers.
+//! Active health checks of workers.
 
 use crate::interface::{LoadReporting, Outcome, WorkerId};
 use crate::net::upstream::call::{UnaryCall, UnaryResponse};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tower::Service;
 
-/// A worker that has not answered a health check within this counts as timed out.
+/// The time within which a worker must answer a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Checks a worker's health and submits the result to the driver.
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -1,16 +1,15 @@
-//! Load reports of workers, in response headers and in the responses to health checks.
+//! Reads workers' load reports from response headers and from responses to health checks.
 
 use crate::interface::LoadReport;
 use crate::wire_format::parse_load_report;
 use hyper::HeaderMap;
 
-/// The load report in a response's headers. A report that can't be read counts as none: the response itself
-/// is good.
+/// The load report in a response's headers. An invalid report is ignored, since the response itself is valid.
 pub(super) fn from_headers(headers: &HeaderMap) -> Option<LoadReport> {
     parse(headers.get("x-load")?.to_str().ok()?)
 }
 
-/// The load report in the body of a response to a health check, if it has one that can be read.
+/// The load report in the body of a response to a health check. An invalid report is ignored.
 pub(super) fn from_body(body: &[u8]) -> Option<LoadReport> {
     parse(std::str::from_utf8(body).ok()?.trim())
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,21 +1,21 @@
-//! Connections to workers: the connection pool, attempts at requests, response streams, and the calls around them.
+//! The upstream side: the connection pool, attempts at requests, response streams and unary calls to workers.
 //!
-//! [`client::UpstreamClient`] is the entry point. An attempt takes a connection from the [`pool`], sends its request
-//! under a write guard, reads the response, and relays it to the client if it is a stream. Whether a request may have
-//! run depends on whether its last byte was written, which [`pool::WriteProgress`] observes at the socket.
+//! [`client::UpstreamClient`] is the entry point. An attempt takes a connection from the [`pool`], sends its
+//! request under a write guard, reads the response, and relays it to the client if it is a stream. A request
+//! may have run only if its last byte was written, which [`pool::WriteProgress`] tracks at the socket.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `client` | addresses, connections and the driver, for all of the below |
-//! | `outbound` | the driver's [`Outbound`](crate::runtime::Outbound): starts the calls |
-//! | `attempt`, `completion` | the steps of an attempt, and the report of its end |
-//! | `forward`, `write_guard` | the request as it is written, and the check before each write |
-//! | `response`, `event_stream` | what a worker answered, up to the first event of a stream |
+//! | `client` | the upstream client, with the state shared by all other modules |
+//! | `outbound` | implements the driver's [`Outbound`](crate::runtime::Outbound): spawns a task per call |
+//! | `attempt`, `completion` | the steps of an attempt, and the report of its result |
+//! | `forward`, `write_guard` | builds the forwarded request, and checks before each write of it |
+//! | `response`, `event_stream` | classifies responses, and validates event streams |
 //! | `stream`, `stream_tail` | the relay of a stream to the client |
-//! | `call` | single calls beside the attempts, used by `release`, `slot`, `health` and `stream` |
+//! | `call` | unary calls outside of attempts, used by `release`, `slot`, `health` and `stream` |
 //! | `release`, `slot`, `health` | cache releases, slot reservations and health checks |
 //! | `load_report` | the workers' load reports |
-//! | `pool`, `connection`, `write_progress` | connections, their reuse, and what was written to them |
+//! | `pool`, `connection`, `write_progress` | connections, their reuse, and the progress of writes |
 
 mod attempt;
 mod call;
--- a/src/net/upstream/outbound.rs
+++ b/src/net/upstream/outbound.rs
@@ -1,4 +1,4 @@
-//! The upstream client as the driver sees it: each call starts a task.
+//! Implements the driver's [`Outbound`] for the upstream client.
 
 use crate::interface::{RequestId, WorkerId};
 use crate::net::upstream::attempt::AttemptRunner;
@@ -8,8 +8,8 @@
 use crate::runtime::{Attempt, Outbound, ReleaseProgress};
 use std::rc::Rc;
 
-/// Each call runs in a task of its own on the current thread. Attempts and releases end early only as their
-/// [`Attempt::cancelled`] and [`ReleaseProgress`] say.
+/// Calls to workers run in separate tasks on the current thread. An attempt ends early only through its
+/// [`Attempt::cancelled`], a cache release only through its [`ReleaseProgress`].
 impl Outbound for UpstreamClient {
     fn send(&self, attempt: Attempt) {
         tokio::task::spawn_local(AttemptRunner::run_to_completion(self.clone(), attempt));
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -1,7 +1,8 @@
-//! Releases of the KV caches and slots that workers hold for a request.
+//! Releases the KV cache and the slot that workers hold for a request.
 //!
-//! Any worker takes a release and passes it on to the holder. Workers are called one after the other until
-//! one has acknowledged it; a second call does no harm, but a KV cache that is held too long does.
+//! Any worker accepts a release and forwards it to the holder. Workers are called in turn until one
+//! acknowledges the release; calls are hedged, because a repeated release is harmless but a KV cache that is
+//! held too long is not.
 
 use crate::interface::WorkerId;
 use crate::net::upstream::call::UnaryCall;
@@ -16,23 +17,24 @@
 use tokio::time::Instant;
 use tower::Service;
 
-/// Before the first call, so that the worker has seen the attempt's connection close.
+/// The delay before the first call, so that the worker has seen the attempt's connection close.
 const RELEASE_DELAY: Duration = Duration::from_millis(5);
-/// Before a further worker is called while a call is unanswered: well within [`RELEASE_PERIOD`].
+/// The time after which another worker is called while a call is unanswered: well within [`RELEASE_PERIOD`].
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
-/// New calls are made for this long: a KV cache has to be released about 0.4 s after the policy has decided
-/// so.
+/// The period in which new calls are started: a KV cache must be released about 0.4 s after the policy's
+/// decision.
 const RELEASE_PERIOD: Duration = Duration::from_millis(350);
-/// After a call that failed, and while no worker is known.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// More workers than can be called within [`RELEASE_PERIOD`].
+/// The delay after a failed call, and between searches for a worker while none is known.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The limit on workers taken from the endpoint list at once: more than can be called within
+/// [`RELEASE_PERIOD`].
 const MAX_CANDIDATES: usize = 64;
-/// A single call is given up after this.
+/// The timeout of a single call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Releases what workers hold for a request, until a worker has acknowledged it or `progress` is stopped.
+/// Releases the KV cache and the slot of a request, until a worker acknowledges it or `progress` is stopped.
 ///
-/// Dropping the future cancels all calls in flight: those not written yet are never sent.
+/// Dropping the future cancels all calls in flight. Those that are not written yet are never sent.
 pub(super) async fn release_cache(
     client: &UpstreamClient,
     request: &ForwardedRequest,
@@ -40,7 +42,7 @@
 ) {
     let release = CacheRelease::new(client, request, progress);
     tokio::select! {
-        // A stopped release must not write anything more, so the stop is looked at before each step of the
+        // A stopped release must not write anything more, so the stop is checked before each poll of the
         // release.
         biased;
         () = progress.stopped() => {}
@@ -51,7 +53,7 @@
 /// Whether a worker has acknowledged a release.
 enum Acknowledgement {
     Received,
-    Outstanding,
+    Pending,
 }
 
 /// A release in progress.
@@ -59,25 +61,25 @@
     client: &'a UpstreamClient,
     request: &'a ForwardedRequest,
     progress: &'a ReleaseProgress,
-    /// Workers to be called next, the first one last.
+    /// The workers to call next, in reverse order.
     candidates: Vec<WorkerId>,
-    /// Calls in flight. Dropping the set cancels them.
+    /// The calls in flight. Dropping the set cancels them.
     calls: JoinSet<()>,
-    acknowledge: mpsc::Sender<()>,
-    acknowledged: mpsc::Receiver<()>,
+    ack_sender: mpsc::Sender<()>,
+    ack_receiver: mpsc::Receiver<()>,
 }
 
 impl<'a> CacheRelease<'a> {
     fn new(client: &'a UpstreamClient, request: &'a ForwardedRequest, progress: &'a ReleaseProgress) -> Self {
-        let (acknowledge, acknowledged) = mpsc::channel(1);
+        let (ack_sender, ack_receiver) = mpsc::channel(1);
         CacheRelease {
             client,
             request,
             progress,
             candidates: progress.holder().cloned().into_iter().collect(),
             calls: JoinSet::new(),
-            acknowledge,
-            acknowledged,
+            ack_sender,
+            ack_receiver,
         }
     }
 
@@ -87,69 +89,66 @@
         let started = Instant::now();
         while started.elapsed() < RELEASE_PERIOD {
             let Some(worker) = self.next_candidate() else {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             let Ok(call) = UnaryCall::new(worker, Method::DELETE, &path) else { return };
-            self.start(call);
+            self.start_call(call);
             if let Acknowledgement::Received = self.wait_before_next_call().await {
                 return self.progress.set_done();
             }
         }
-        self.finish().await;
+        self.await_calls_in_flight().await;
     }
 
-    /// The worker to call next: the known holder first, then all others.
+    /// The worker to call next: first the known holder, then the workers of the endpoint list.
     fn next_candidate(&mut self) -> Option<WorkerId> {
         if self.candidates.is_empty() {
-            // All were called without success, or none is known yet: the endpoint list may have changed
-            // since.
+            // All candidates were called without success, or none was known: read the endpoint list again.
             self.candidates = self.client.directory.running(MAX_CANDIDATES);
             self.candidates.reverse();
         }
         self.candidates.pop()
     }
 
-    fn start(&mut self, call: UnaryCall) {
-        let (mut client, acknowledge) = (self.client.clone(), self.acknowledge.clone());
+    fn start_call(&mut self, call: UnaryCall) {
+        let (mut client, ack_sender) = (self.client.clone(), self.ack_sender.clone());
         let request = self.request.id.clone();
         self.calls.spawn_local(async move {
             match tokio::time::timeout(CALL_TIMEOUT, client.call(call)).await {
-                Ok(Ok(_)) => _ = acknowledge.send(()).await,
-                Ok(Err(error)) => log::debug!("request {request}: cache release: {error}"),
+                Ok(Ok(_)) => _ = ack_sender.send(()).await,
+                Ok(Err(error)) => log::debug!("request {request}: cache release failed: {error}"),
                 Err(_) => {}
             }
         });
     }
 
-    /// Waits for an acknowledgement, for the end of a call, or until it is time to call another worker as
-    /// well.
+    /// Waits for an acknowledgement, the end of a call or [`HEDGE_DELAY`], whichever comes first.
     async fn wait_before_next_call(&mut self) -> Acknowledgement {
-        // The order of the branches does not matter: a call that has ended is looked at for its
-        // acknowledgement, too.
+        // Needs no `biased`: the branch for an ended call also checks for an acknowledgement.
         tokio::select! {
-            Some(()) = self.acknowledged.recv() => Acknowledgement::Received,
+            Some(()) = self.ack_receiver.recv() => Acknowledgement::Received,
             Some(_) = self.calls.join_next() => {
-                if self.acknowledged.try_recv().is_ok() {
+                if self.ack_receiver.try_recv().is_ok() {
                     return Acknowledgement::Received;
                 }
-                // A worker that can't be reached is not worth the longer wait: the next one is called soon.
-                tokio::time::sleep(RETRY_PAUSE).await;
-                Acknowledgement::Outstanding
+                // The call has failed, so there is no reason to wait for the whole hedge delay.
+                tokio::time::sleep(RETRY_DELAY).await;
+                Acknowledgement::Pending
             }
-            () = tokio::time::sleep(HEDGE_DELAY) => Acknowledgement::Outstanding,
+            () = tokio::time::sleep(HEDGE_DELAY) => Acknowledgement::Pending,
         }
     }
 
-    /// Waits for the calls that are still in flight, without making new ones.
-    async fn finish(mut self) {
-        // With this sender gone, the channel closes when the last call has ended.
-        drop(self.acknowledge);
-        if self.acknowledged.recv().await.is_some() {
+    /// Waits for the calls in flight without starting new ones.
+    async fn await_calls_in_flight(mut self) {
+        // Without this sender the channel closes when the last call ends.
+        drop(self.ack_sender);
+        if self.ack_receiver.recv().await.is_some() {
             self.progress.set_done();
         } else {
             self.client.counters.cache_releases_failed.increment();
-            log::warn!("request {}: no worker acknowledged the release of its cache", self.request.id);
+            log::warn!("request {}: no worker acknowledged the cache release", self.request.id);
         }
     }
 }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -1,10 +1,9 @@
-//! A worker's response to an attempt: what its status means, and what is read of it before the attempt goes
-//! on.
+//! Classifies a worker's response to an attempt, and reads it completely or up to a stream's first event.
 
 use crate::interface::{Outcome, Stage};
 use crate::net::upstream::call::read_body;
 use crate::net::upstream::completion::ConnectionDisposition;
-use crate::net::upstream::event_stream::{EventCheck, EventStream, EventStreamError};
+use crate::net::upstream::event_stream::{EventStream, EventStreamError, EventValidation};
 use crate::net::upstream::load_report;
 use crate::runtime::AttemptResult;
 use bytes::Bytes;
@@ -14,7 +13,8 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The short body of a response that is no stream comes together with its head.
+/// The timeout for the body of a response that is not a stream. Such a body is short and arrives together
+/// with its head.
 const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The body of a response to a prefill.
@@ -23,60 +23,63 @@
     cached_tokens: f64,
 }
 
-/// Why a response can't be used. The request may have run.
+/// Why there is no usable response. The request may have run.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    /// The connection broke, or what came can't be read as a response.
-    #[error("waiting for the response: {0}")]
+    /// The connection failed, or the response head is invalid.
+    #[error("no response: {0}")]
     Exchange(#[from] hyper::Error),
     /// The stream is corrupted before its first event.
-    #[error("reading the first event: {0}")]
+    #[error("invalid first event: {0}")]
     FirstEvent(#[from] EventStreamError),
 }
 
-/// The request that a response belongs to.
+/// The properties of a request that decide how its response is classified.
 pub(super) struct SentRequest {
-    /// What the worker was asked to do.
+    /// The stage that was requested.
     pub stage: Stage,
-    /// Whether the last byte of the request had been written when the response began.
+    /// Whether the last byte of the request had been written when the response head arrived.
     pub is_fully_written: bool,
 }
 
 /// A stream whose first event has arrived.
 pub(super) struct OpenedStream {
+    /// All bytes up to the end of the first event, including comments before it.
     pub first_event: Bytes,
+    /// The rest of the stream.
     pub events: EventStream,
     pub content_type: Option<String>,
-    /// Whether HTTP marks the end of the body, by chunks or a length, so that an early close is noticed.
-    pub has_marked_end: bool,
+    /// Whether the body is delimited by chunked encoding or a content length, so that an early close is
+    /// detected. Otherwise it is delimited by the close of the connection.
+    pub is_self_delimited: bool,
 }
 
-/// A worker's response, up to its end or to the first event of a stream.
+/// A worker's response, read completely or up to the first event of a stream.
 pub(super) enum UpstreamResponse {
     Complete { result: AttemptResult, disposition: ConnectionDisposition },
     Stream(OpenedStream),
 }
 
-/// What the head of a response means.
+/// The classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseKind {
-    /// The response is the stream that was asked for.
+    /// The requested stream.
     Stream,
-    /// The status says how the attempt ended, and a short body follows.
+    /// A response whose status determines the outcome, with a short body.
     Final(Outcome),
-    /// The response does not belong to what was asked: its body is not read, and the connection not used
-    /// again.
+    /// A response that does not match the request. Its body is not read, and its connection is closed.
     Unexpected(Outcome),
 }
 
 impl ResponseKind {
-    fn of(head: &Parts, sent: &SentRequest) -> Self {
+    fn classify(head: &Parts, sent: &SentRequest) -> Self {
         let has_not_run = head.headers.contains_key("x-not-run");
         match head.status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if has_not_run => {
                 ResponseKind::Final(Outcome::Rejected)
             }
-            // A worker begins with the last byte: this response does not tell what became of the request.
+            // A worker starts to process a request when its last byte arrives, so this response is not the
+            // result of the request.
             _ if !sent.is_fully_written => ResponseKind::Unexpected(Outcome::ConnectFailed),
             StatusCode::OK if sent.stage == Stage::Decode => ResponseKind::Stream,
             StatusCode::ACCEPTED if sent.stage == Stage::Prefill => {
@@ -90,13 +93,13 @@
 }
 
 impl UpstreamResponse {
-    /// Reads a response as far as needed to tell what it is.
+    /// Reads a response completely, or up to the first event of a stream.
     ///
     /// # Errors
-    /// A stream that is corrupted before its first event.
+    /// The stream is corrupted before its first event.
     pub async fn read(response: Response<Incoming>, sent: SentRequest) -> Result<Self, ResponseError> {
         let (head, body) = response.into_parts();
-        match ResponseKind::of(&head, &sent) {
+        match ResponseKind::classify(&head, &sent) {
             ResponseKind::Stream => Ok(UpstreamResponse::open_stream(&head.headers, body).await?),
             ResponseKind::Final(outcome) => {
                 Ok(UpstreamResponse::read_final(outcome, &head.headers, body, &sent).await)
@@ -111,8 +114,8 @@
         UpstreamResponse::Complete { result: outcome.into(), disposition }
     }
 
-    /// Reads the short body of a response whose status has told the outcome: a body that doesn't come, or not
-    /// completely, costs only the connection.
+    /// Reads the short body of a response whose status determines the outcome. If the body is missing or
+    /// incomplete, the outcome stands and only the connection is closed.
     async fn read_final(outcome: Outcome, headers: &HeaderMap, body: Incoming, sent: &SentRequest) -> Self {
         let read = tokio::time::timeout(BODY_TIMEOUT, read_body(body)).await;
         let body = read.ok().and_then(Result::ok);
@@ -128,21 +131,21 @@
         UpstreamResponse::Complete { result: AttemptResult { outcome, cached_tokens, report }, disposition }
     }
 
-    /// Reads a stream up to its first event. The head alone is not enough: until an event has come, the
-    /// attempt can still be replaced by another one.
+    /// Reads a stream up to its first event. The response head is not enough: the attempt can be retried
+    /// until the first event has arrived.
     async fn open_stream(headers: &HeaderMap, body: Incoming) -> Result<Self, EventStreamError> {
         let is_chunked = headers.contains_key("transfer-encoding");
-        let has_marked_end = is_chunked || body.size_hint().exact().is_some();
+        let is_self_delimited = is_chunked || body.size_hint().exact().is_some();
         let content_type = headers.get("content-type").and_then(|value| value.to_str().ok());
         let content_type = content_type.map(str::to_owned);
-        let check = match &content_type {
-            Some(name) if name.starts_with("text/event-stream") => EventCheck::Enforced,
-            _ => EventCheck::Skipped,
+        let validation = match &content_type {
+            Some(name) if name.starts_with("text/event-stream") => EventValidation::Enforced,
+            _ => EventValidation::Skipped,
         };
-        let mut events = EventStream::new(body, check);
+        let mut events = EventStream::new(body, validation);
         match events.first_event().await? {
             Some(first_event) => {
-                let stream = OpenedStream { first_event, events, content_type, has_marked_end };
+                let stream = OpenedStream { first_event, events, content_type, is_self_delimited };
                 Ok(UpstreamResponse::Stream(stream))
             }
             None => Ok(UpstreamResponse::closing(Outcome::ConnectionLost)),
@@ -150,7 +153,7 @@
     }
 }
 
-/// The cached prompt tokens that a prefill worker reports; none if the body can't be read.
+/// The number of cached prompt tokens that a prefill worker reports; 0 if the body is invalid.
 fn prefill_cached_tokens(body: &[u8]) -> u64 {
     serde_json::from_slice::<PrefillResponse>(body).map_or(0, |response| response.cached_tokens as u64)
 }
--- a/src/net/upstream/slot.rs
+++ b/src/net/upstream/slot.rs
@@ -1,4 +1,4 @@
-//! Reservations of slots at decode workers.
+//! Reserves slots at decode workers.
 
 use crate::interface::{RequestId, WorkerId};
 use crate::net::is_plain_id;
@@ -9,13 +9,13 @@
 use hyper::{Method, StatusCode};
 use tower::Service;
 
-/// The path of all that workers hold for a request: its reserved slot and its KV cache.
+/// The path under which workers keep a request's resources, its reserved slot and its KV cache.
 pub(super) fn reservation_path(request: &ForwardedRequest) -> String {
     format!("/internal/reservations/{}", request.id)
 }
 
-/// Reserves a slot at a decode worker in a task of its own, which submits the worker's answer to the driver.
-/// Without an answer nothing is submitted.
+/// Spawns a task that reserves a slot at a decode worker and submits the worker's answer, reserved or
+/// refused, to the driver. Nothing is submitted if the call fails or has another status.
 pub(super) fn reserve_slot(
     client: &UpstreamClient,
     request: RequestId,
@@ -23,7 +23,7 @@
     worker: WorkerId,
 ) {
     debug_assert!(is_plain_id(&forwarded.id));
-    // A draining worker gets no new reservations, just as it gets no new requests.
+    // A draining worker gets no new reservations, as it gets no new requests.
     if !client.directory.is_ready(&worker) {
         return;
     }
--- a/src/net/upstream/stream_tail.rs
+++ b/src/net/upstream/stream_tail.rs
@@ -1,11 +1,11 @@
-//! The last bytes of a stream, which tell whether it is complete and what the worker's cache held.
+//! The last bytes of a stream, with its end marker and its usage report.
 
 use serde::Deserialize;
 
-/// Bytes at the end of a stream in which the usage report is looked for.
+/// The number of bytes kept from the end of a stream, to find the usage report and the end marker in.
 const TAIL_BYTES: usize = 512;
 
-/// The event with the usage report, as far as it is read.
+/// The fields that are read from an event with a usage report.
 #[derive(Deserialize)]
 struct UsageEvent {
     usage: Usage,
@@ -25,12 +25,11 @@
 pub(super) struct StreamTail(Vec<u8>);
 
 impl StreamTail {
-    /// The tail of a stream that has not begun.
     pub fn new() -> Self {
         StreamTail(Vec::with_capacity(2 * TAIL_BYTES))
     }
 
-    /// Adds bytes to the end, and forgets those that are not among the last any more.
+    /// Appends bytes, and discards all but the last [`TAIL_BYTES`].
     pub fn push(&mut self, data: &[u8]) {
         if data.len() >= TAIL_BYTES {
             self.0.clear();
@@ -41,12 +40,12 @@
         }
     }
 
-    /// Whether the stream ends with the event that says that it is complete.
+    /// Whether the stream ends with its end marker.
     pub fn ends_with_done(&self) -> bool {
         self.0.trim_ascii_end().ends_with(b"data: [DONE]")
     }
 
-    /// The cached prompt tokens that the last events report; none if they don't.
+    /// The number of cached prompt tokens in the last usage report; 0 without a report.
     pub fn cached_tokens(&self) -> u64 {
         let text = String::from_utf8_lossy(&self.0);
         let events = text.lines().rev().filter_map(|line| line.strip_prefix("data: "));
--- a/src/net/upstream/stream_tail/tests.rs
+++ b/src/net/upstream/stream_tail/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is private to `stream_tail`.
+//! Unit tests of `stream_tail`.
 
 use super::*;
 use rstest::rstest;
@@ -17,11 +17,11 @@
 }
 
 #[rstest]
-#[case::done("data: {}\n\ndata: [DONE]\n\n", true)]
-#[case::without_the_blank_line("data: [DONE]", true)]
-#[case::not_done("data: {}\n\n", false)]
-#[case::done_before_the_end("data: [DONE]\n\ndata: {}\n\n", false)]
-fn a_stream_is_done_with_its_last_event(#[case] stream: &str, #[case] expected: bool) {
+#[case::end_marker("data: {}\n\ndata: [DONE]\n\n", true)]
+#[case::end_marker_without_blank_line("data: [DONE]", true)]
+#[case::no_end_marker("data: {}\n\n", false)]
+#[case::end_marker_before_the_end("data: [DONE]\n\ndata: {}\n\n", false)]
+fn a_stream_is_complete_if_it_ends_with_the_end_marker(#[case] stream: &str, #[case] expected: bool) {
     let mut tail = StreamTail::new();
     tail.push(stream.as_bytes());
     assert_eq!(tail.ends_with_done(), expected);
