--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -141,7 +141,7 @@
     /// Logs a failed exchange and reports it to the pool. Returns the attempt's outcome.
     fn record_failure(&self, connection: &Connection, error: &ResponseError) -> Outcome {
         let (request, worker) = (&self.attempt.forwarded.id, &self.attempt.worker.0);
-        log::info!("request {request}: connection to {worker} failed: {error}");
+        log::info!("request {request}: exchange with {worker} failed: {error}");
         self.client.pool.record_failure(connection);
         Outcome::ConnectionLost
     }
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -60,7 +60,7 @@
     #[error("call to {}: no address is known", .0.0)]
     UnknownAddress(WorkerId),
     /// The connection could not be established.
-    #[error("call to {}: connect failed: {source}", worker.0)]
+    #[error("call to {}: no connection: {source}", worker.0)]
     Connect {
         /// The called worker.
         worker: WorkerId,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -152,7 +152,7 @@
         body_length: usize,
         guard: WriteGuard,
     ) -> hyper::Result<Response<Incoming>> {
-        self.progress.reset(body_length, guard);
+        self.progress.begin_request(body_length, guard);
         self.sent_at = Instant::now();
         self.awaits_response = true;
         let response = self.sender.send_request(request).await;
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -15,7 +15,7 @@
 use tower::Service;
 
 /// The maximum time between two events, after which a stream counts as broken even if its connection is open:
-/// a machine that has crashed sends no reset. It is shorter than the 5 s after which clients give up.
+/// a host that has failed sends no reset. It is shorter than the 5 s after which clients give up.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(4500);
 /// The time within which the worker must accept a reply.
 const REPLY_TIMEOUT: Duration = EVENT_TIMEOUT;
--- a/src/net/upstream/write_progress.rs
+++ b/src/net/upstream/write_progress.rs
@@ -37,7 +37,7 @@
 
 impl WriteProgress {
     /// Starts to track a new request with a body of `body_length` bytes, whose writes `guard` checks.
-    pub(super) fn reset(&self, body_length: usize, guard: WriteGuard) {
+    pub(super) fn begin_request(&self, body_length: usize, guard: WriteGuard) {
         self.terminator_matched.set(0);
         self.body_remaining.set(body_length);
         self.has_started.set(false);
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -1,4 +1,4 @@
-//! Attempts and releases that are cancelled, time out, or lose their pool while in progress.
+//! Attempts and cache releases that are cancelled, time out, or see the pool's idle connections closed.
 
 use crate::harness::*;
 use bytes::Bytes;
@@ -14,9 +14,10 @@
 use std::sync::{Mutex, mpsc};
 use std::time::Duration;
 
-/// A worker whose receive buffer holds only a few bytes until they are read.
+/// A worker with a small receive buffer that does not read.
 struct SlowWorker {
     listener: TcpListener,
+    /// A request body that is much larger than the receive buffer.
     body: Bytes,
 }
 
@@ -29,8 +30,8 @@
         SlowWorker { listener: socket.into(), body: vec![b'x'; 256 * 1024].into() }
     }
 
-    /// How many bytes reach it, up to the end of the connection.
-    fn received(&self) -> usize {
+    /// Reads up to the end of the connection and returns the number of bytes received.
+    fn receive(&self) -> usize {
         let (mut connection, _) = self.listener.accept().unwrap();
         let mut bytes = Vec::new();
         let _ = connection.read_to_end(&mut bytes);
@@ -38,13 +39,13 @@
     }
 }
 
-/// Guards against a request that reaches its worker after it was given up: bytes in the kernel's send buffer
-/// are delivered later, even after a close, and a worker begins with the last of them.
+/// Guards against an abandoned request that still reaches its worker: the kernel delivers its send buffer
+/// even after a close, and the worker starts to process the request when its last byte arrives.
 #[rstest]
 #[case::client_left(None, Outcome::Cancelled)]
 #[case::timed_out(Some(SECOND / 4), Outcome::TimedOut)]
 #[tokio::test]
-async fn what_a_worker_has_not_received_of_a_given_up_request_never_reaches_it(
+async fn an_abandoned_request_is_not_delivered_from_the_send_buffer(
     #[case] timeout: Option<Micros>,
     #[case] expected: Outcome,
 ) {
@@ -57,7 +58,7 @@
         attempt.deadline = upstream.now() + timeout.unwrap_or(10 * SECOND);
         let begun = attempt.begun.clone();
         upstream.client.send(attempt);
-        for _ in 0..MANY_TURNS {
+        for _ in 0..MAX_SCHEDULER_TURNS {
             if begun.get() {
                 break;
             }
@@ -70,64 +71,65 @@
         while upstream.client.pool.available_connections() < 4 {
             tokio::task::yield_now().await;
         }
-        let received = worker.received();
-        assert!(received < worker.body.len(), "{received} bytes came");
+        let received = worker.receive();
+        assert!(received < worker.body.len(), "the worker received {received} bytes");
     })
     .await;
 }
 
-/// A listener whose accept queue is full: connections to it are not established.
-struct FullQueue {
+/// A listener whose accept queue is full, so that connections to it are not established.
+struct FullListener {
     address: SocketAddr,
     _listener: TcpListener,
-    _filling: Vec<Socket>,
+    /// Client sockets that fill the accept queue.
+    _queued: Vec<Socket>,
 }
 
-impl FullQueue {
-    fn start() -> FullQueue {
+impl FullListener {
+    fn start() -> FullListener {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         SockRef::from(&listener).listen(0).unwrap();
         let address = listener.local_addr().unwrap();
-        let fill = || {
+        let connect = || {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             socket.set_nonblocking(true).unwrap();
             let _ = socket.connect(&address.into());
             socket
         };
-        FullQueue { address, _filling: (0..3).map(|_| fill()).collect(), _listener: listener }
+        FullListener { address, _queued: (0..3).map(|_| connect()).collect(), _listener: listener }
     }
 }
 
-/// Guards against a release that is sent after the next prefill: it would remove the KV cache which that one
-/// leaves.
+/// Guards against a cache release that is sent after the next prefill of its request: it would remove the KV
+/// cache of that prefill.
 #[tokio::test]
-async fn a_release_that_was_stopped_writes_nothing_any_more() {
+async fn a_stopped_release_writes_nothing_more() {
     run_local(async {
-        let full = FullQueue::start();
-        let upstream = UpstreamHarness::start(&[(WORKER, full.address)], 1);
+        let listener = FullListener::start();
+        let upstream = UpstreamHarness::start(&[(WORKER, listener.address)], 1);
         let (release, request) = (Rc::<ReleaseProgress>::default(), Rc::new(forwarded_request("id-1")));
         upstream.client.release_cache(request.clone(), release.clone());
-        // Its call occupies the only connection while it connects.
+        // The call of the release holds the only permit of the pool while it connects.
         while upstream.client.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         release.stop();
-        // All tasks share this thread and wait for nothing else: by then those that were to end have ended.
+        // All tasks run on this thread and need no I/O to end, so these turns are enough.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(Rc::strong_count(&request), 1, "the release goes on");
+        assert_eq!(Rc::strong_count(&request), 1, "the release still runs");
         assert_eq!(upstream.client.pool.available_connections(), 1, "the call still connects");
     })
     .await;
 }
 
-/// Guards against an attempt that begins on a connection which is established after its client has left.
+/// Guards against an attempt that is sent on a connection established after its client has disconnected.
 #[tokio::test]
-async fn an_attempt_cancelled_while_it_connects_ends_at_once() {
+async fn an_attempt_cancelled_while_connecting_ends_immediately() {
     run_local(async {
-        let full = FullQueue::start();
-        let mut upstream = UpstreamHarness::start(&[(WORKER, full.address)], 1);
+        let listener = FullListener::start();
+        let mut upstream = UpstreamHarness::start(&[(WORKER, listener.address)], 1);
         let attempt = upstream.attempt(WORKER, "id-1");
         let begun: Rc<Cell<bool>> = attempt.begun.clone();
         upstream.client.send(attempt);
@@ -141,20 +143,21 @@
     .await;
 }
 
-/// A late response to an attempt that was given up goes nowhere: its connection is closed, and the next
-/// attempt has another.
+/// Guards against a late response to a timed-out attempt that is taken for the response to the next one: the
+/// connection is closed, and the next attempt uses a new one.
 #[tokio::test]
-async fn a_late_response_to_a_given_up_attempt_goes_nowhere() {
+async fn a_late_response_to_a_timed_out_attempt_is_discarded() {
     run_local(async {
         let (proceed, gate) = mpsc::channel::<()>();
         let (report_closed, closed) = mpsc::channel();
-        let script = Mutex::new((gate, report_closed));
+        let channels = Mutex::new((gate, report_closed));
         let (worker, received) = recording_worker(move |message, conn| {
             if message.header("x-request-id") == Some("id-1") {
-                let script = script.lock().unwrap();
-                script.0.recv().unwrap();
+                let channels = channels.lock().unwrap();
+                let (gate, report_closed) = &*channels;
+                gate.recv().unwrap();
                 conn.answer("500 Error", "", "");
-                script.1.send(conn.is_closed()).unwrap();
+                report_closed.send(conn.is_closed()).unwrap();
                 return false;
             }
             conn.answer("202 Accepted", "", "{}");
@@ -168,15 +171,15 @@
         assert_eq!(upstream.outcome_of(second).await, Outcome::PrefillCompleted);
         proceed.send(()).unwrap();
         assert!(closed.recv().unwrap());
-        assert!(upstream.inputs.try_recv().is_err(), "the driver gets nothing more from it");
+        assert!(upstream.inputs.try_recv().is_err(), "the late response reached the driver");
         assert_eq!(received.try_iter().count(), 2);
     })
     .await;
 }
 
-/// Clearing the pool while a connection is in use does not affect the attempt on it.
+/// Guards against an attempt that loses its connection when the pool closes its idle connections.
 #[tokio::test]
-async fn an_attempt_survives_a_pool_cleared_meanwhile() {
+async fn closing_idle_connections_does_not_affect_an_attempt_in_flight() {
     run_local(async {
         let (proceed, gate) = mpsc::channel::<()>();
         let gate = Mutex::new(gate);
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -1,4 +1,4 @@
-//! An upstream client under test, the driver's end of it, and scripted workers.
+//! The test harness: an upstream client, the driver inputs that it submits, and scripted workers.
 
 use crate::support::{Conn, Message, Peer};
 use llm_router::interface::*;
@@ -14,28 +14,28 @@
 use std::sync::{Mutex, mpsc};
 use std::task::Poll;
 use std::time::Duration;
-use tokio::sync::{mpsc as inputs, oneshot};
+use tokio::sync::{mpsc as async_mpsc, oneshot};
 
 pub const SECOND: Micros = 1_000_000;
-/// The name of the only worker.
+/// The id of the only worker.
 pub const WORKER: &str = "a";
-/// Turns of the async runtime within which everything has happened that can.
-pub const MANY_TURNS: usize = 100_000;
+/// The number of scheduler turns after which an expected event will not happen any more.
+pub const MAX_SCHEDULER_TURNS: usize = 100_000;
 
 fn addressed_endpoint(worker: &str, address: SocketAddr) -> AddressedEndpoint {
     AddressedEndpoint { endpoint: endpoint(worker), address: Some(address) }
 }
 
-/// An upstream client, with the inputs that it submits to the driver.
+/// An upstream client and the inputs that it submits to the driver.
 pub struct UpstreamHarness {
     pub client: UpstreamClient,
-    pub inputs: inputs::UnboundedReceiver<DriverInput>,
+    pub inputs: async_mpsc::UnboundedReceiver<DriverInput>,
     /// Cancels the latest attempt when dropped.
     pub cancel: Option<oneshot::Sender<()>>,
 }
 
 impl UpstreamHarness {
-    /// A client that knows these workers and may open this many connections.
+    /// Creates a client with these workers in its directory and a pool of `max_connections`.
     pub fn start(workers: &[(&str, SocketAddr)], max_connections: usize) -> UpstreamHarness {
         let (driver, inputs) = DriverHandle::channel(Clock::start());
         let directory = Rc::<Directory>::default();
@@ -45,7 +45,7 @@
             endpoints: workers.iter().map(|(worker, address)| addressed_endpoint(worker, *address)).collect(),
         });
         let counters = Rc::<Counters>::default();
-        // No test lasts for as long as this, so none of its connections is reused.
+        // Longer than any test, so that no test reuses a connection.
         let timeout = Duration::from_secs(10);
         let limits = PoolLimits {
             max_connections,
@@ -68,7 +68,7 @@
         self.client.driver.clock.now()
     }
 
-    /// A prefill attempt for a request with this id, to be sent.
+    /// Creates a prefill attempt for a request with this id.
     pub fn attempt(&mut self, worker: &str, id: &str) -> Attempt {
         let (cancel, cancelled) = oneshot::channel();
         self.cancel = Some(cancel);
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Sends an attempt, and waits for its end.
+    /// Sends an attempt and waits for its outcome.
     pub async fn outcome_of(&mut self, attempt: Attempt) -> Outcome {
         self.client.send(attempt);
         self.next_outcome().await
     }
 
-    /// Waits for the end of the attempt in flight.
+    /// Waits for the outcome of the attempt in flight.
     pub async fn next_outcome(&mut self) -> Outcome {
         loop {
             if let DriverInput::AttemptEnded { result, .. } = self.inputs.recv().await.unwrap() {
@@ -126,30 +126,30 @@
     }
 }
 
-/// A worker that records the messages it receives, and answers as `act` says.
+/// Starts a worker that records the requests it receives and answers them by calling `handle`.
 pub fn recording_worker(
-    act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+    handle: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<Message>) {
     let (record, received) = mpsc::channel();
     let record = Mutex::new(record);
     let worker = Peer::start(move |message, conn| {
         record.lock().unwrap().send(message.clone()).unwrap();
-        act(message, conn)
+        handle(message, conn)
     });
     (worker, received)
 }
 
-/// The answer of a prefill worker that has processed its prompt.
+/// Answers a prefill request successfully.
 pub fn complete_prefill(_: &Message, conn: &mut Conn) -> bool {
     conn.answer("202 Accepted", "", "{}");
     true
 }
 
-/// Waits until each other task that can run has run once.
-pub async fn next_turn() {
-    let mut has_waited = false;
+/// Waits until every other runnable task has run once.
+pub async fn yield_to_all_tasks() {
+    let mut has_yielded = false;
     poll_fn(|cx| {
-        if std::mem::replace(&mut has_waited, true) {
+        if std::mem::replace(&mut has_yielded, true) {
             return Poll::Ready(());
         }
         cx.waker().wake_by_ref();
@@ -158,7 +158,7 @@
     .await;
 }
 
-/// Runs a test with a set of local tasks, as the router does.
+/// Runs a test in a `LocalSet`, as the router runs its tasks.
 pub async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/tests/attempts/main.rs
+++ b/tests/attempts/main.rs
@@ -1,4 +1,4 @@
-//! Attempts, releases and pooled connections at one worker, where something happens between two steps.
+//! Attempts, cache releases and pooled connections with one worker, with events forced between two steps.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/attempts/responses.rs
+++ b/tests/attempts/responses.rs
@@ -1,4 +1,4 @@
-//! Responses that must not be taken for the response to a request.
+//! Responses that do not belong to the request in flight.
 
 use crate::harness::*;
 use llm_router::interface::{Outcome, Stage};
@@ -11,15 +11,16 @@
 use std::rc::Rc;
 use std::sync::Mutex;
 
-/// Guards against a second response to a request: if it comes some milliseconds after the first, when the
-/// next request has been sent on that connection, it can't be told from the response to that one.
+/// Guards against a surplus second response to a request: if it arrives some milliseconds after the first
+/// one, when the next request has been sent on the connection, it is indistinguishable from the response to
+/// that request.
 #[tokio::test]
-async fn a_late_second_response_is_not_taken_for_the_next_one() {
+async fn a_late_second_response_is_not_taken_for_the_next_response() {
     run_local(async {
-        let seen = Mutex::new(HashSet::new());
+        let seen_peers = Mutex::new(HashSet::new());
         let (worker, received) = recording_worker(move |_, conn| {
-            // On a connection that was used before, the late response to its first request comes first.
-            if !seen.lock().unwrap().insert(conn.0.peer_addr().unwrap()) {
+            // On a reused connection, the surplus response to the first request precedes the answer.
+            if !seen_peers.lock().unwrap().insert(conn.0.peer_addr().unwrap()) {
                 let _ = conn.0.write_all(b"HTTP/1.1 500 Error\r\ncontent-length: 0\r\n\r\n");
             }
             conn.answer("202 Accepted", "", "{}");
@@ -35,11 +36,11 @@
     .await;
 }
 
-/// Guards against a response that is accepted though it belongs to the other stage. The request id in its
-/// headers says nothing: the protocol leaves that to the worker.
+/// Guards against a response that is accepted although it belongs to the other stage. A request id in its
+/// headers is ignored, because the protocol leaves it to the worker.
 #[rstest]
 #[case::prefill_completed(Stage::Prefill, "202 Accepted", "", Outcome::PrefillCompleted)]
-#[case::a_stream_from_a_prefill_worker(Stage::Prefill, "200 OK", "", Outcome::WorkerError)]
+#[case::stream_from_a_prefill_worker(Stage::Prefill, "200 OK", "", Outcome::WorkerError)]
 #[case::no_stream_from_a_decode_worker(Stage::Decode, "202 Accepted", "", Outcome::WorkerError)]
 #[case::request_id_echoed(
     Stage::Prefill,
@@ -47,14 +48,9 @@
     "x-request-id: id-1\r\n",
     Outcome::PrefillCompleted
 )]
-#[case::request_id_of_the_worker_s_own(
-    Stage::Prefill,
-    "202 Accepted",
-    "x-request-id: id-0\r\n",
-    Outcome::PrefillCompleted
-)]
+#[case::other_request_id(Stage::Prefill, "202 Accepted", "x-request-id: id-0\r\n", Outcome::PrefillCompleted)]
 #[tokio::test]
-async fn a_response_counts_only_for_the_stage_that_was_requested(
+async fn a_response_must_match_the_requested_stage(
     #[case] stage: Stage,
     #[case] status: &'static str,
     #[case] headers: &'static str,
@@ -73,20 +69,20 @@
     .await;
 }
 
-/// Guards against a response that arrived before the request was written: it can't belong to that request.
+/// Guards against bytes that arrived before the request was written and are taken for its response.
 #[tokio::test]
-async fn bytes_that_arrive_before_a_request_are_not_its_response() {
+async fn bytes_received_before_a_request_are_not_its_response() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut upstream = UpstreamHarness::start(&[(WORKER, listener.local_addr().unwrap())], 4);
         let mut attempt = upstream.attempt(WORKER, "id-1");
-        let early = RefCell::new(Vec::new());
-        // In the last moment before the first byte: the async runtime has not seen that the socket is
-        // readable.
+        let accepted = RefCell::new(Vec::new());
+        // Called by the write guard directly before the first byte, so that the async runtime has not seen
+        // the socket become readable.
         let client = ClientConnection::new(Rc::new(move || {
             let (mut worker, _) = listener.accept().unwrap();
             worker.write_all(b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\n\r\n{}").unwrap();
-            early.borrow_mut().push(worker);
+            accepted.borrow_mut().push(worker);
             false
         }));
         attempt.forwarded = Rc::new(ForwardedRequest { client, ..forwarded_request("id-1") });
