--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -179,7 +179,8 @@
         self
     }
 
-    /// Whether a connection that has just failed was probably dead before its last request was written.
+    /// Whether a connection that has just failed had probably been closed by its peer before its last request
+    /// was written.
     pub(super) fn was_stale(&self) -> bool {
         self.is_reused && self.sent_at.elapsed() <= STALE_RESET_WINDOW
     }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -23,8 +23,8 @@
 /// sockets.
 const MAX_IDLE_PER_WORKER: usize = 32;
 /// The minimum time between a response and the reuse of its connection. Surplus bytes that a worker writes
-/// after the response arrive within this time; later they would be taken for the response to the next
-/// request.
+/// after the response arrive within this time. On a reused connection they would be taken for the response to
+/// the next request.
 pub const REUSE_DELAY: Duration = Duration::from_millis(25);
 /// How long no connection is reused after a stale one was found.
 const REUSE_SUSPENSION: Duration = Duration::from_secs(60);
@@ -97,7 +97,7 @@
     /// A reused connection that is reset as soon as a request is written to it was stale: its peer had closed
     /// it without notice, and has probably closed other idle connections too. A request written to one of
     /// them counts as possibly run, and so fails if it is not idempotent. Therefore all idle connections are
-    /// closed and none is reused for [`REUSE_SUSPENSION`]; a new connection costs only a few round trips.
+    /// closed and none is reused for `REUSE_SUSPENSION`; a new connection costs only a few round trips.
     pub fn record_failure(&self, connection: &Connection) {
         if !connection.was_stale() {
             return;
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -42,7 +42,7 @@
 /// Guards against an abandoned request that still reaches its worker: the kernel delivers its send buffer
 /// even after a close, and the worker starts to process the request when its last byte arrives.
 #[rstest]
-#[case::client_left(None, Outcome::Cancelled)]
+#[case::client_disconnected(None, Outcome::Cancelled)]
 #[case::timed_out(Some(SECOND / 4), Outcome::TimedOut)]
 #[tokio::test]
 async fn an_abandoned_request_is_not_delivered_from_the_send_buffer(
--- a/tests/attempts/write_guard.rs
+++ b/tests/attempts/write_guard.rs
@@ -71,7 +71,7 @@
 #[case(StateChange::DeadlinePassed, Err(Outcome::ConnectFailed))]
 #[case(StateChange::DeduplicationWindowExpired, Err(Outcome::NotSent))]
 #[tokio::test]
-async fn an_attempt_is_withheld_from_its_time_limits_on(
+async fn an_attempt_is_withheld_at_its_time_limits(
     #[case] change: StateChange,
     #[case] expected: Result<(), Outcome>,
 ) {
@@ -86,8 +86,7 @@
     assert_eq!(upstream.client.check_write_guard(&attempt, now), expected);
 }
 
-/// Guards against other tasks that run between the last check of an attempt and its first byte, and delay it
-/// for any time.
+/// Guards against other tasks that run between the last check of an attempt and its first byte and delay it.
 #[tokio::test]
 async fn no_task_runs_between_the_last_check_of_an_attempt_and_its_first_byte() {
     run_local(async {
