--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -15,7 +15,7 @@
 use crate::net::server::shutdown_phase::ShutdownPhase;
 use crate::net::socket::listen;
 use crate::net::upstream::client::UpstreamClient;
-use crate::net::upstream::pool::{Pool, PoolLimits, TRAILING_BYTES_WAIT};
+use crate::net::upstream::pool::{Pool, PoolLimits, REUSE_DELAY};
 use crate::runtime::counters::Counters;
 use crate::runtime::{Clock, Driver, DriverHandle};
 use std::cell::Cell;
@@ -128,10 +128,10 @@
         let connect_timeout = Duration::from_micros(config.settings.connect_timeout);
         let connect_timeout = connect_timeout.max(MIN_CONNECT_TIMEOUT);
         let limits = PoolLimits {
-            sockets: sockets.upstream,
+            max_connections: sockets.upstream,
             connect_timeout,
             idle_timeout: config.idle_connection_timeout / IDLE_TIMEOUT_DIVISOR,
-            trailing_bytes_wait: TRAILING_BYTES_WAIT,
+            reuse_delay: REUSE_DELAY,
         };
         SharedComponents {
             connect_timeout,
