--- a/src/frontend/context.rs
+++ b/src/frontend/context.rs
@@ -13,8 +13,8 @@
     pub driver: DriverHandle,
     /// The request classes that the settings name.
     pub classes: Vec<String>,
-    /// Whether the router can serve requests: the health check's answer.
-    pub ready: Box<dyn Fn() -> bool>,
+    /// Whether the router can serve requests, as the health check reports it.
+    pub is_ready: Box<dyn Fn() -> bool>,
     /// Counters of the whole router.
     pub counters: Rc<Counters>,
     /// The memory that request bodies may take at once.
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -101,7 +101,7 @@
 
     /// The response to a health check.
     fn health(&self) -> Response<ResponseBody> {
-        if (self.context.ready)() {
+        if (self.context.is_ready)() {
             plain_text(StatusCode::OK, "ready\n")
         } else {
             plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -168,7 +168,7 @@
         ServiceContext {
             driver: self.driver.clone(),
             classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
-            ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
+            is_ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
             counters: self.counters.clone(),
             body_memory: MemoryBudget::new(
                 config.limits.memory_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR,
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -57,7 +57,7 @@
         let context = ServiceContext {
             driver: handle,
             classes: vec!["explain".into(), "send".into()],
-            ready: Box::new(|| true),
+            is_ready: Box::new(|| true),
             counters: counters.clone(),
             body_memory: MemoryBudget::new(options.body_memory),
             active_ids: Rc::default(),
