--- a/src/frontend/context.rs
+++ b/src/frontend/context.rs
@@ -12,7 +12,7 @@
     /// Where requests are submitted.
     pub driver: DriverHandle,
     /// The request classes that the settings name.
-    pub classes: Vec<String>,
+    pub request_classes: Vec<String>,
     /// Whether the router can serve requests, as the health check reports it.
     pub is_ready: Box<dyn Fn() -> bool>,
     /// Counters of the whole router.
--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -64,7 +64,7 @@
         request: RpcRequest,
         client: &Rc<ClientSocket>,
     ) -> Result<StreamingCall, RpcError> {
-        if !self.context.classes.contains(&request.method) {
+        if !self.context.request_classes.contains(&request.method) {
             return Err(RpcError::MethodNotFound);
         }
         let params = CompletionParams::decode(request.params.as_deref())?;
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -118,7 +118,7 @@
         let driver = &self.context.driver;
         let (head, body) = request.into_parts();
         let mut parsed = platform::decode(&head.headers, driver.clock.ago(client.pipeline_wait()))?;
-        if !self.context.classes.contains(&parsed.spec.class) {
+        if !self.context.request_classes.contains(&parsed.spec.class) {
             return Err(RequestError::UnknownClass);
         }
         let body = read_body(body, client, &self.context.body_memory).await?;
--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -167,7 +167,7 @@
         let (directory, worker_kinds) = (self.directory.clone(), config.settings.worker_kinds.clone());
         ServiceContext {
             driver: self.driver.clone(),
-            classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
+            request_classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
             is_ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
             counters: self.counters.clone(),
             body_memory: MemoryBudget::new(
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -56,7 +56,7 @@
         let counters = Rc::<Counters>::default();
         let context = ServiceContext {
             driver: handle,
-            classes: vec!["explain".into(), "send".into()],
+            request_classes: vec!["explain".into(), "send".into()],
             is_ready: Box::new(|| true),
             counters: counters.clone(),
             body_memory: MemoryBudget::new(options.body_memory),
