--- a/src/frontend/platform.rs
+++ b/src/frontend/chat_completions.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP protocol: the headers of requests are decoded, and the driver's responses encoded.
+//! The HTTP protocol for chat completions: decodes request headers and encodes the driver's responses.
 
 use crate::frontend::response_body::{ResponseBody, plain_text};
 use crate::interface::{Micros, RequestId, RequestSpec};
@@ -9,19 +9,19 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// The path that is served.
+/// The path of chat completion requests.
 pub const PATH: &str = "/v1/chat/completions";
-/// The longest deadline that is accepted: ten minutes.
+/// The longest accepted deadline: ten minutes.
 const MAX_DEADLINE: Micros = 600_000_000;
-/// The largest count of tokens that is accepted.
+/// The largest accepted token count.
 const MAX_TOKENS: u64 = 100_000_000;
-/// The longest session, prefix or tenant name that is taken into account, in bytes.
+/// The longest session, prefix or tenant name in bytes; longer names are ignored.
 const MAX_NAME_BYTES: usize = 256;
-/// How many bytes of a body are taken for one token where a client does not state its prompt's length, over either
-/// protocol.
+/// The bytes of a body that are estimated as one token where a client does not state its prompt's length.
+/// Both client protocols use it.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), or that are written anew for each attempt.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that are set for each attempt.
 const NOT_FORWARDED: [HeaderName; 12] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -37,77 +37,79 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// A request header of the platform's protocol.
+/// A request header of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlatformHeader {
-    /// The id under which workers know the request.
+pub enum RequestHeader {
+    /// The request's id, which workers receive too.
     RequestId,
-    /// The request's class.
+    /// The request class.
     Class,
-    /// How long the client waits, from when it sent the request.
+    /// The time until the client's deadline, from when it sent the request.
     Deadline,
-    /// The session that the request belongs to.
+    /// The session of the request.
     Session,
-    /// The tenant that the request belongs to.
+    /// The tenant of the request.
     Tenant,
-    /// Lengths in tokens, and the shared prefix of the prompt.
+    /// Token counts, and the key of the prompt's shared prefix.
     Extras,
 }
 
-impl PlatformHeader {
-    /// Its name on the wire.
+impl RequestHeader {
+    /// The header's name on the wire.
     fn name(self) -> &'static str {
         match self {
-            PlatformHeader::RequestId => "X-Request-Id",
-            PlatformHeader::Class => "X-Class",
-            PlatformHeader::Deadline => "X-Deadline",
-            PlatformHeader::Session => "X-Key",
-            PlatformHeader::Tenant => "X-Tenant",
-            PlatformHeader::Extras => "X-Extras",
+            RequestHeader::RequestId => "X-Request-Id",
+            RequestHeader::Class => "X-Class",
+            RequestHeader::Deadline => "X-Deadline",
+            RequestHeader::Session => "X-Key",
+            RequestHeader::Tenant => "X-Tenant",
+            RequestHeader::Extras => "X-Extras",
         }
     }
 
-    /// Its value without surrounding white space, if the request has it.
+    /// The header's value without surrounding white space, if it is present.
     fn value(self, headers: &HeaderMap) -> Result<Option<&str>, InvalidHeader> {
         let Some(value) = headers.get(self.name()) else { return Ok(None) };
         value.to_str().map(|text| Some(text.trim())).map_err(|_| InvalidHeader::Malformed(self))
     }
 
-    /// The same for a header that every request must have.
+    /// The value of a mandatory header.
     fn required_value(self, headers: &HeaderMap) -> Result<&str, InvalidHeader> {
         self.value(headers)?.ok_or(InvalidHeader::Missing(self))
     }
 }
 
-impl fmt::Display for PlatformHeader {
+impl fmt::Display for RequestHeader {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
 }
 
-/// What is wrong with the headers of a request. The texts are part of the protocol: clients are sent them.
+/// Why the headers of a request are rejected. The `Display` texts are part of the protocol: clients receive
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidHeader {
-    /// A required header is not there.
+    /// A mandatory header is missing.
     #[error("{0} is missing")]
-    Missing(PlatformHeader),
-    /// A header's value cannot be read, or is out of its range.
+    Missing(RequestHeader),
+    /// A header's value is not text, malformed or out of range.
     #[error("bad {0}")]
-    Malformed(PlatformHeader),
+    Malformed(RequestHeader),
 }
 
-/// A request whose headers have been decoded.
+/// The decoded headers of a request.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// The id under which workers know the request.
+    /// The request's id, which workers receive too.
     pub id: String,
-    /// The request as the policy sees it; its prompt's length may be unknown until [`ParsedRequest::complete_spec`].
+    /// The request's description for the policy. The prompt's length may be unknown until
+    /// [`ParsedRequest::complete_spec`].
     pub spec: RequestSpec,
     is_prompt_length_stated: bool,
 }
 
 impl ParsedRequest {
-    /// Fills in what the headers left out, from the length of the body in bytes.
+    /// Estimates the prompt's length from the length of the body if the headers do not state it.
     pub fn complete_spec(&mut self, body_bytes: usize) {
         if !self.is_prompt_length_stated {
             self.spec.prompt_tokens = body_bytes as u64 / BYTES_PER_TOKEN;
@@ -115,21 +117,21 @@
     }
 }
 
-/// Decodes the headers of a request whose client began to wait at `sent_at`.
+/// Decodes the headers of a request. `sent_at` is the time from which its deadline counts.
 ///
 /// # Errors
 /// A header is missing or malformed.
 pub fn decode(headers: &HeaderMap, sent_at: Micros) -> Result<ParsedRequest, InvalidHeader> {
-    let id = PlatformHeader::RequestId.required_value(headers)?;
-    if !is_plain_id(id) || headers.get_all(PlatformHeader::RequestId.name()).iter().count() > 1 {
-        return Err(InvalidHeader::Malformed(PlatformHeader::RequestId));
+    let id = RequestHeader::RequestId.required_value(headers)?;
+    if !is_plain_id(id) || headers.get_all(RequestHeader::RequestId.name()).iter().count() > 1 {
+        return Err(InvalidHeader::Malformed(RequestHeader::RequestId));
     }
-    let class = PlatformHeader::Class.required_value(headers)?;
-    let deadline = PlatformHeader::Deadline.required_value(headers)?;
-    let deadline = parse_deadline(deadline).ok_or(InvalidHeader::Malformed(PlatformHeader::Deadline))?;
-    let session = PlatformHeader::Session.value(headers)?.filter(|name| is_usable_name(name));
-    let tenant = PlatformHeader::Tenant.value(headers)?.filter(|name| is_usable_name(name));
-    let extras = Extras::decode(PlatformHeader::Extras.value(headers)?.unwrap_or_default())?;
+    let class = RequestHeader::Class.required_value(headers)?;
+    let deadline = RequestHeader::Deadline.required_value(headers)?;
+    let deadline = parse_deadline(deadline).ok_or(InvalidHeader::Malformed(RequestHeader::Deadline))?;
+    let session = RequestHeader::Session.value(headers)?.filter(|name| is_usable_name(name));
+    let tenant = RequestHeader::Tenant.value(headers)?.filter(|name| is_usable_name(name));
+    let extras = Extras::decode(RequestHeader::Extras.value(headers)?.unwrap_or_default())?;
     let spec = RequestSpec {
         request: RequestId(0),
         deadline: sent_at + deadline,
@@ -145,7 +147,7 @@
     Ok(ParsedRequest { id: id.to_owned(), spec, is_prompt_length_stated: extras.prompt_tokens.is_some() })
 }
 
-/// The pairs of the `X-Extras` header.
+/// The fields of the `X-Extras` header.
 #[derive(Debug, Default)]
 struct Extras {
     prefix: Option<Arc<str>>,
@@ -155,9 +157,10 @@
 }
 
 impl Extras {
-    /// Decodes `name=value` pairs separated by commas. Unknown names are ignored; of equal names the last one counts.
+    /// Decodes `name=value` pairs separated by commas. Unknown names are ignored; the last of equal names
+    /// wins.
     fn decode(text: &str) -> Result<Self, InvalidHeader> {
-        const MALFORMED: InvalidHeader = InvalidHeader::Malformed(PlatformHeader::Extras);
+        const MALFORMED: InvalidHeader = InvalidHeader::Malformed(RequestHeader::Extras);
         let mut extras = Extras::default();
         for pair in text.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').ok_or(MALFORMED)?;
@@ -174,12 +177,12 @@
     }
 }
 
-/// Whether a name of a session, prefix or tenant is taken into account.
+/// Whether a session, prefix or tenant name is used; others are ignored.
 fn is_usable_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-/// Decodes a deadline: digits, and `m` for milliseconds or `u` for microseconds.
+/// Parses a deadline: digits followed by `m` for milliseconds or `u` for microseconds.
 fn parse_deadline(text: &str) -> Option<Micros> {
     let (number, unit) = match text.as_bytes().last()? {
         b'm' => (&text[..text.len() - 1], 1_000),
@@ -192,21 +195,21 @@
     number.parse::<Micros>().ok()?.checked_mul(unit).filter(|d| (1..=MAX_DEADLINE).contains(d))
 }
 
-/// The headers that are forwarded to a worker: all but those that concern the client's connection, by name or because
-/// `Connection` lists them. Workers may need any other, an idempotency key for one.
+/// Removes the headers that are not forwarded to workers, including those that `Connection` lists. All others
+/// are kept, as workers may need any of them, such as an idempotency key.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    let listed: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
+    let connection_options: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in NOT_FORWARDED.iter().chain(&listed) {
+    for name in NOT_FORWARDED.iter().chain(&connection_options) {
         headers.remove(name);
     }
     headers
 }
 
-/// Encodes the driver's response. The guard lives as long as the client is being answered.
+/// Encodes the driver's response. The body of a streamed response holds the guard until the stream ends.
 pub fn encode(response: FinalResponse, disconnect_guard: DisconnectGuard) -> Response<ResponseBody> {
     match response {
         FinalResponse::Rejected { retry_after } => rejection(retry_after),
@@ -222,7 +225,7 @@
     }
 }
 
-/// A rejection, which promises the client that a retry does no harm. Its text, "refused", is fixed by the protocol.
+/// Builds a rejection, after which the client may safely retry. Its body, "refused", is part of the protocol.
 pub fn rejection(retry_after: Option<Micros>) -> Response<ResponseBody> {
     let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(value) = retry_after.and_then(|wait| format!("{:.3}", wait as f64 / 1e6).parse().ok()) {
--- a/src/frontend/platform/tests.rs
+++ b/src/frontend/chat_completions/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of what is private to `platform`.
+//! Unit tests of the chat completion protocol.
 
 use super::*;
 use hyper::header::HeaderValue;
 use rstest::rstest;
 
-/// A complete set of headers, in which the named one has this value instead, or is left out.
+/// A complete set of headers with one header replaced, or removed if `value` is `None`.
 fn headers_with(name: &'static str, value: Option<&'static str>) -> HeaderMap {
     let complete = [("x-request-id", "id-1"), ("x-class", "send"), ("x-deadline", "8000m")];
     let mut headers: HeaderMap = (complete.into_iter())
@@ -17,21 +17,21 @@
     headers
 }
 
-/// Guards against other texts: clients are sent them.
+/// Clients receive these texts, so they must not change.
 #[rstest]
-#[case::no_id("x-request-id", None, "X-Request-Id is missing")]
-#[case::id_that_is_no_path_segment("x-request-id", Some("a/b"), "bad X-Request-Id")]
-#[case::no_class("x-class", None, "X-Class is missing")]
-#[case::class_that_is_no_text("x-class", Some("é"), "bad X-Class")]
-#[case::no_deadline("x-deadline", None, "X-Deadline is missing")]
+#[case::missing_id("x-request-id", None, "X-Request-Id is missing")]
+#[case::id_unsafe_in_a_path("x-request-id", Some("a/b"), "bad X-Request-Id")]
+#[case::missing_class("x-class", None, "X-Class is missing")]
+#[case::non_text_class("x-class", Some("é"), "bad X-Class")]
+#[case::missing_deadline("x-deadline", None, "X-Deadline is missing")]
 #[case::deadline_without_unit("x-deadline", Some("100"), "bad X-Deadline")]
-#[case::deadline_of_zero("x-deadline", Some("0m"), "bad X-Deadline")]
+#[case::zero_deadline("x-deadline", Some("0m"), "bad X-Deadline")]
 #[case::deadline_too_long("x-deadline", Some("600001m"), "bad X-Deadline")]
-#[case::session_that_is_no_text("x-key", Some("é"), "bad X-Key")]
-#[case::tenant_that_is_no_text("x-tenant", Some("é"), "bad X-Tenant")]
+#[case::non_text_session("x-key", Some("é"), "bad X-Key")]
+#[case::non_text_tenant("x-tenant", Some("é"), "bad X-Tenant")]
 #[case::extras_without_value("x-extras", Some("prompt_len"), "bad X-Extras")]
 #[case::extras_out_of_range("x-extras", Some("max_out=100000001"), "bad X-Extras")]
-fn an_invalid_header_is_named(
+fn an_error_names_the_invalid_header(
     #[case] name: &'static str,
     #[case] value: Option<&'static str>,
     #[case] expected: &str,
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn a_prompt_length_that_is_not_stated_is_estimated_from_the_body() {
+fn a_missing_prompt_length_is_estimated_from_the_body() {
     let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70")), 0).unwrap();
     parsed.complete_spec(100);
     assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (25, 70));
 }
 
 #[test]
-fn a_stated_prompt_length_bounds_the_prefix_and_is_kept() {
+fn a_stated_prompt_length_is_kept_and_limits_the_prefix_length() {
     let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70, prompt_len=60")), 0).unwrap();
     parsed.complete_spec(100);
     assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (60, 60));
--- a/src/frontend/context.rs
+++ b/src/frontend/context.rs
@@ -1,4 +1,4 @@
-//! What the protocols that clients speak have in common.
+//! State shared by the client protocols.
 
 use crate::net::server::memory_budget::MemoryBudget;
 use crate::runtime::DriverHandle;
@@ -7,24 +7,24 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct ServiceContext {
-    /// Where requests are submitted.
+    /// The driver that requests are submitted to.
     pub driver: DriverHandle,
-    /// The request classes that the settings name.
+    /// The names of the configured request classes.
     pub request_classes: Vec<String>,
     /// Whether the router can serve requests, as the health check reports it.
     pub is_ready: Box<dyn Fn() -> bool>,
-    /// Counters of the whole router.
+    /// The router's counters.
     pub counters: Rc<Counters>,
-    /// The memory that request bodies may take at once.
+    /// The memory budget of request bodies.
     pub body_memory: Rc<MemoryBudget>,
     /// The ids of active requests.
     pub active_ids: Rc<ActiveRequestIds>,
 }
 
-/// The ids under which workers know active requests. Workers tell requests apart by them: two requests at once under
-/// one id would share a KV cache.
+/// The ids of active requests. Workers identify requests by id: two concurrent requests with the same id
+/// would share a KV cache.
 #[derive(Default)]
 pub struct ActiveRequestIds(RefCell<HashSet<String>>);
 
@@ -34,14 +34,14 @@
         self.0.borrow().is_empty()
     }
 
-    /// Claims an id until the returned guard is dropped; `None` if it is active already.
+    /// Claims an id until the returned guard is dropped; `None` if an active request has it already.
     pub fn claim(self: &Rc<Self>, id: &str) -> Option<ActiveRequestId> {
         let is_new = self.0.borrow_mut().insert(id.to_owned());
         is_new.then(|| ActiveRequestId { ids: self.clone(), id: id.to_owned() })
     }
 }
 
-/// An id of an active request. Dropping it lets another request use the id.
+/// Guard of an active request's id. Dropping it frees the id.
 pub struct ActiveRequestId {
     ids: Rc<ActiveRequestIds>,
     id: String,
--- a/src/frontend/error.rs
+++ b/src/frontend/error.rs
@@ -1,63 +1,63 @@
-//! Why a request is answered without being submitted to the driver.
+//! Errors of requests that are not submitted to the driver, and the responses to them.
 
-use crate::frontend::platform::{self, InvalidHeader};
+use crate::frontend::chat_completions::{self, InvalidHeader};
 use crate::frontend::response_body::{ResponseBody, plain_text};
 use crate::interface::Micros;
 use crate::runtime::counters::Counters;
 use bytes::Bytes;
 use hyper::{Response, StatusCode};
 
-/// When clients are advised to retry that were rejected for lack of capacity, or by a shutdown.
+/// The `Retry-After` of rejections for lack of capacity or because of a shutdown.
 pub const RETRY_AFTER: Micros = 500_000;
 
 /// Why a request is not submitted to the driver.
 ///
-/// The `Display` texts are for the log, whose lines name the connection and the request themselves.
+/// The `Display` texts are for the log; response bodies have their own texts.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The end of its body can be read in several ways (request smuggling).
+    /// The end of the body is ambiguous, which allows request smuggling.
     #[error("ambiguous framing")]
     AmbiguousFraming,
-    /// Nothing is served at its path.
+    /// The path is not served.
     #[error("no such path")]
     UnknownPath,
-    /// Its path is served with another method.
+    /// The path is served, but not with this method.
     #[error("wrong method")]
     MethodNotAllowed,
-    /// A header of the platform's protocol is missing or malformed.
+    /// A required header is missing, or a header is malformed.
     #[error(transparent)]
     InvalidHeader(#[from] InvalidHeader),
-    /// The settings name no such class.
+    /// The request class is not configured.
     #[error("unknown class")]
     UnknownClass,
-    /// Its body is longer than any that is accepted.
+    /// The body exceeds the size limit.
     #[error("body too long")]
     BodyTooLong,
-    /// Its body could not be read.
-    #[error("body broken")]
-    BodyBroken,
-    /// Bytes follow its body that cannot begin another request.
+    /// Reading the body failed.
+    #[error("reading the body failed")]
+    BodyReadFailed,
+    /// The body is followed by bytes that can't begin another request.
     #[error("more bytes than the length says")]
     ExcessBytes,
     /// Another active request has the same id.
     #[error("a request with this id is active")]
     DuplicateId,
-    /// The bodies of active requests take all the memory that they may.
-    #[error("no memory left for request bodies")]
+    /// The bodies of active requests use up their memory budget.
+    #[error("the memory budget of request bodies is exhausted")]
     MemoryBudgetExhausted,
     /// The client had disconnected before the request was submitted.
-    #[error("its client has disconnected")]
+    #[error("the client has disconnected")]
     ClientDisconnected,
     /// The request arrived in the closing phase of a graceful shutdown.
-    #[error("it arrived in the closing phase of a shutdown")]
+    #[error("the request arrived in the closing phase of a shutdown")]
     ShuttingDown,
 }
 
 impl RequestError {
-    /// The response to the client. Counts the error.
+    /// Counts the error and builds the response to the client.
     ///
-    /// The texts of the bodies are fixed by the protocol with clients: there a request that is "in hand" is an active
-    /// one, and a "refused" one has been rejected.
+    /// The response bodies are part of the protocol, where "in hand" means active and "refused" means
+    /// rejected.
     pub fn into_response(self, counters: &Counters) -> Response<ResponseBody> {
         let malformed = |status, text: Bytes| {
             counters.requests_malformed.increment();
@@ -76,7 +76,7 @@
             }
             RequestError::UnknownClass => malformed(StatusCode::BAD_REQUEST, "unknown class\n".into()),
             RequestError::BodyTooLong => malformed(StatusCode::PAYLOAD_TOO_LARGE, "body too long\n".into()),
-            RequestError::BodyBroken => malformed(StatusCode::BAD_REQUEST, "body broken\n".into()),
+            RequestError::BodyReadFailed => malformed(StatusCode::BAD_REQUEST, "body broken\n".into()),
             RequestError::ExcessBytes => {
                 malformed(StatusCode::BAD_REQUEST, "more bytes than the length says\n".into())
             }
@@ -85,15 +85,15 @@
             }
             RequestError::MemoryBudgetExhausted => {
                 counters.requests_shed.increment();
-                platform::rejection(Some(RETRY_AFTER))
+                chat_completions::rejection(Some(RETRY_AFTER))
             }
             RequestError::ClientDisconnected => {
                 counters.client_disconnects.increment();
-                platform::rejection(None)
+                chat_completions::rejection(None)
             }
             RequestError::ShuttingDown => {
                 counters.rejected_at_shutdown.increment();
-                platform::rejection(Some(RETRY_AFTER))
+                chat_completions::rejection(Some(RETRY_AFTER))
             }
         }
     }
--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -4,8 +4,8 @@
 use super::error::RpcError;
 use super::params::CompletionParams;
 use super::protocol::RpcRequest;
+use crate::frontend::chat_completions;
 use crate::frontend::context::ServiceContext;
-use crate::frontend::platform;
 use crate::interface::{RequestId, RequestSpec};
 use crate::net::server::client_socket::ClientSocket;
 use crate::net::server::received_request::MAX_BODY_BYTES;
@@ -109,7 +109,8 @@
         body_bytes: usize,
         client: &ClientSocket,
     ) -> RequestSpec {
-        let prompt_tokens = params.prompt_tokens.unwrap_or(body_bytes as u64 / platform::BYTES_PER_TOKEN);
+        let prompt_tokens =
+            params.prompt_tokens.unwrap_or(body_bytes as u64 / chat_completions::BYTES_PER_TOKEN);
         RequestSpec {
             request: RequestId(0),
             deadline: self.context.driver.clock.ago(client.pipeline_wait()) + params.deadline_ms * 1000,
@@ -136,7 +137,7 @@
         let json = HeaderValue::from_static("application/json");
         ForwardedRequest {
             id,
-            target: platform::PATH.to_owned(),
+            target: chat_completions::PATH.to_owned(),
             headers: HeaderMap::from_iter([(CONTENT_TYPE, json)]),
             body,
             client: client.connection(),
--- a/src/frontend/jsonrpc/session.rs
+++ b/src/frontend/jsonrpc/message_handler.rs
@@ -1,4 +1,4 @@
-//! Answers one HTTP message of a client: a request, a notification or a batch.
+//! Handles one HTTP message of a client: a request, a notification or a batch.
 
 use super::active_calls::ActiveCalls;
 use super::call::CallStarter;
@@ -8,7 +8,7 @@
 use super::protocol::{RpcRequest, encode_result, encode_rpc_error};
 use super::relay::AnswerRelay;
 use super::replay_buffer::ReplayBuffer;
-use crate::frontend::platform::rejection;
+use crate::frontend::chat_completions::rejection;
 use crate::frontend::response_body::ResponseBody;
 use crate::interface::Micros;
 use crate::net::server::client_socket::ClientSocket;
@@ -19,37 +19,37 @@
 use serde_json::value::RawValue;
 use std::rc::Rc;
 
-/// Most requests of one batch.
+/// The most requests in a batch.
 const MAX_BATCH_REQUESTS: usize = 16;
 /// The method that cancels another request.
 const CANCEL_METHOD: &str = "cancel";
 
-/// What all sessions share.
-pub struct SessionContext {
-    /// Starts calls.
+/// State shared by all message handlers.
+pub struct HandlerContext {
+    /// Validates and submits requests.
     pub call_starter: CallStarter,
     /// The calls in progress.
     pub active_calls: Rc<ActiveCalls>,
     /// Runs tool calls.
     pub replay_buffer: Rc<ReplayBuffer>,
-    /// The process's counters.
+    /// The router's counters.
     pub counters: Rc<Counters>,
 }
 
-/// The handling of one message of a client.
+/// Handles one message of a client.
 #[derive(Clone)]
-pub struct Session {
-    context: Rc<SessionContext>,
+pub struct MessageHandler {
+    context: Rc<HandlerContext>,
     client: Rc<ClientSocket>,
 }
 
-impl Session {
-    /// A session for a message that came on this connection.
-    pub fn new(context: Rc<SessionContext>, client: Rc<ClientSocket>) -> Self {
-        Session { context, client }
+impl MessageHandler {
+    /// Creates a handler of a message received on this connection.
+    pub fn new(context: Rc<HandlerContext>, client: Rc<ClientSocket>) -> Self {
+        MessageHandler { context, client }
     }
 
-    /// Answers the message.
+    /// Decodes and answers the message.
     pub async fn respond(self, body: Bytes) -> Response<ResponseBody> {
         if body.trim_ascii_start().starts_with(b"[") {
             return match serde_json::from_slice::<Vec<Box<RawValue>>>(&body) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Answers a single request; an answer that streams is relayed by a task of its own.
+    /// Answers a single request. A separate task relays an answer that streams.
     async fn respond_to_request(self, request: RpcRequest) -> Response<ResponseBody> {
         if request.is_notification() {
             self.handle_notification(&request);
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Answers a batch once all of its requests are answered; they run at the same time.
+    /// Runs the requests of a batch concurrently, and responds once all have completed.
     async fn respond_to_batch(self, messages: Vec<Box<RawValue>>) -> Response<ResponseBody> {
         if messages.is_empty() || messages.len() > MAX_BATCH_REQUESTS {
             return self.error_response(None, RpcError::InvalidRequest);
         }
         let mut tasks = Vec::new();
         for message in messages {
-            let session = self.clone();
-            tasks.push(tokio::task::spawn_local(async move { session.batch_response(&message).await }));
+            let handler = self.clone();
+            tasks.push(tokio::task::spawn_local(async move { handler.batch_response(&message).await }));
         }
         let mut responses = Vec::new();
         for task in tasks {
-            // A task that panicked leaves its request without a response; the others keep theirs.
+            // If a task panics, only its own request gets no response.
             if let Ok(Some(response)) = task.await {
                 responses.push(response);
             }
@@ -111,7 +111,7 @@
         json_response(StatusCode::OK, body)
     }
 
-    /// The response to one message of a batch; a notification has none.
+    /// Builds the response to one message of a batch; a notification has none.
     async fn batch_response(self, message: &RawValue) -> Option<Vec<u8>> {
         let request = match RpcRequest::decode(message) {
             Ok(request) => request,
@@ -130,7 +130,7 @@
         Some(response.unwrap_or_else(|error| encode_rpc_error(id.as_deref(), &error)))
     }
 
-    /// Relays an answer into one text; the response that holds it.
+    /// Collects a whole answer and builds the response that contains it.
     async fn collect_answer(&self, request: RpcRequest) -> Result<Vec<u8>, RpcError> {
         let call = self.context.call_starter.start(request, &self.client).await?;
         let relay = AnswerRelay::new(call, self.context.replay_buffer.clone());
@@ -138,15 +138,16 @@
         relay.run(&mut output).await.map_err(|_| RpcError::StreamBroken)
     }
 
-    /// Handles a notification. By the specification nothing answers it, whatever becomes of it.
+    /// Handles a notification. The specification forbids a response, even for an error.
     fn handle_notification(&self, notification: &RpcRequest) {
         if notification.method != CANCEL_METHOD || self.cancel(notification).is_err() {
             self.context.counters.requests_malformed.increment();
-            log::debug!("ignored a notification of method {:?}", notification.method);
+            log::debug!("ignored a notification with method {:?}", notification.method);
         }
     }
 
-    /// Cancels a request: its attempts and its tool calls in flight. Whether a call of this name was in progress.
+    /// Cancels a request's attempts and its tool calls in flight. Returns whether a call of this name was in
+    /// progress.
     fn cancel(&self, request: &RpcRequest) -> Result<bool, RpcError> {
         let params = CancelParams::decode(request.params.as_deref())?;
         let was_active = self.context.active_calls.cancel(&params.name);
@@ -154,7 +155,7 @@
         Ok(was_active)
     }
 
-    /// An error as the whole response.
+    /// Builds an error response to the message.
     fn error_response(&self, id: Option<&RawValue>, error: RpcError) -> Response<ResponseBody> {
         let status = error.status();
         if status.is_client_error() {
@@ -168,25 +169,25 @@
     }
 }
 
-/// Gives a response the advice when to retry in its header too, in the same form as on the platform's path.
+/// Sets the `Retry-After` header, in the same format as on the chat completion path.
 fn set_retry_after(retry_after: Micros, response: &mut Response<ResponseBody>) {
     if let Some(value) = rejection(Some(retry_after)).headers_mut().remove(RETRY_AFTER) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
 }
 
-/// Starts the task that relays an answer, and gives the response whose body it writes.
+/// Spawns the task that relays an answer, and returns the response whose body it writes.
 fn stream_response(relay: AnswerRelay) -> Response<ResponseBody> {
     let (mut output, body) = AnswerOutput::streamed();
     let name = relay.name();
     tokio::task::spawn_local(async move {
         match relay.run(&mut output).await {
             Ok(last_line) => output.finish(last_line).await,
-            // The body is dropped without its end: the client's connection breaks off, and the client resumes.
-            Err(error) => log::info!("JSON-RPC request {name}: the answer ended early: {error}"),
+            // Dropping the body without its end closes the client's connection; the client may then resume.
+            Err(error) => log::info!("JSON-RPC request {name}: the answer is incomplete: {error}"),
         }
     });
-    let mut response = Response::new(ResponseBody::Lines(body));
+    let mut response = Response::new(ResponseBody::JsonLines(body));
     let content_type = HeaderValue::from_static("application/x-ndjson");
     response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -1,32 +1,34 @@
-//! JSON-RPC 2.0 over HTTP for clients on unreliable links, with tool calls relayed while an answer streams.
+//! JSON-RPC 2.0 over HTTP for clients on unreliable networks, with tool calls relayed while an answer
+//! streams.
 //!
-//! A client posts a request whose method is a request class. The response body is newline-delimited JSON: `delta`
-//! and `tool` notifications while the answer streams, then the JSON-RPC response. The decode worker may put a
-//! JSON-RPC request of its own into its stream: the router forwards it to the tool server through the
-//! replay buffer, posts the result back to the worker, and the stream goes on.
+//! A client posts a request whose method is a request class. The response body is newline-delimited JSON:
+//! `delta` and `tool` notifications while the answer streams, then the JSON-RPC response. The decode worker
+//! may send a JSON-RPC request as an event of its stream, a tool call: the router forwards it to the tool
+//! server through the replay buffer and posts the result to the worker, which then continues its stream.
 //!
-//! When a stream breaks, the client's connection ends without its last chunk. The client sends its request again
-//! under the same name and says how much of the answer it has; the replay buffer answers the tool calls that have
-//! already run.
+//! When a stream breaks, the client's connection closes without the last chunk. The client resumes: it sends
+//! its request again under the same name and states how much of the answer it has received. The replay buffer
+//! answers the tool calls that have already run.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `protocol` | requests, responses and notifications as they stand on the wire |
-//! | `error` | the errors that clients and workers receive |
-//! | `params` | the parameters of clients' requests, and the body forwarded to workers |
-//! | `service` | owns the state that all connections share |
-//! | `session` | answers one HTTP message: a request, a notification or a batch |
-//! | `active_calls` | the calls in progress by name: duplicates, takeover, cancellation |
-//! | `call` | takes one call from its parameters to the worker's stream |
-//! | `relay`, `tool_call` | relay a stream to the client, and one tool call within it |
-//! | `relay_error` | why a relay ends early |
-//! | `sse`, `worker_event` | the worker's event stream: framing, and the meaning of an event |
-//! | `output` | where the lines of an answer go |
-//! | `replay_buffer`, `tool_client` | run each tool call at most once, and talk to the tool server |
+//! | `protocol` | wire format of requests, responses and notifications |
+//! | `error` | error objects for clients and workers |
+//! | `params` | parameters of clients' requests, and the request body for workers |
+//! | `service` | the service, with the state shared by all connections |
+//! | `message_handler` | handles one HTTP message: a request, a notification or a batch |
+//! | `active_calls` | calls in progress by name: duplicates, takeover, cancellation |
+//! | `call` | starts a call: submits its request and waits for the worker's stream |
+//! | `relay`, `tool_call` | relay a stream to the client, and a tool call within it |
+//! | `relay_error` | errors that end a relay early |
+//! | `sse`, `worker_event` | the worker's event stream: framing, and decoding of events |
+//! | `output` | destinations of an answer: a streamed body or a batch response |
+//! | `replay_buffer`, `tool_client` | run each tool call at most once, and send it to the tool server |
 
 mod active_calls;
 mod call;
 mod error;
+mod message_handler;
 mod output;
 mod params;
 mod protocol;
@@ -34,7 +36,6 @@
 mod relay_error;
 mod replay_buffer;
 mod service;
-mod session;
 mod sse;
 mod tool_call;
 mod tool_client;
--- a/src/frontend/jsonrpc/service.rs
+++ b/src/frontend/jsonrpc/service.rs
@@ -1,9 +1,9 @@
-//! The JSON-RPC service: the state that its clients' connections share.
+//! The JSON-RPC service, with the state shared by all client connections.
 
 use super::active_calls::ActiveCalls;
 use super::call::CallStarter;
+use super::message_handler::{HandlerContext, MessageHandler};
 use super::replay_buffer::ReplayBuffer;
-use super::session::{Session, SessionContext};
 use crate::config::ToolSettings;
 use crate::frontend::context::ServiceContext;
 use crate::frontend::response_body::ResponseBody;
@@ -15,13 +15,13 @@
 
 /// Serves JSON-RPC to clients.
 pub struct JsonRpcService {
-    /// The path at which clients reach it.
+    /// The path that is served.
     pub path: String,
-    session_context: Rc<SessionContext>,
+    handler_context: Rc<HandlerContext>,
 }
 
 impl JsonRpcService {
-    /// A service over what the server's connections share.
+    /// Creates a service. `seed` varies the ids of forwarded requests.
     pub fn new(
         context: Rc<ServiceContext>,
         settings: ToolSettings,
@@ -33,19 +33,20 @@
         let replay_buffer = ReplayBuffer::new(settings, connect_timeout, counters.clone());
         let active_calls = ActiveCalls::new();
         let call_starter = CallStarter::new(context, active_calls.clone(), seed);
-        let session_context = SessionContext { call_starter, active_calls, replay_buffer, counters };
-        Rc::new(JsonRpcService { path, session_context: Rc::new(session_context) })
+        let handler_context = HandlerContext { call_starter, active_calls, replay_buffer, counters };
+        Rc::new(JsonRpcService { path, handler_context: Rc::new(handler_context) })
     }
 
-    /// Frees what has expired. Called at intervals, as there may be no tool call that would do so.
+    /// Evicts expired tool call outcomes and idle connections to the tool server. Must be called
+    /// periodically: tool calls evict too, but there may be none.
     pub fn evict_expired(&self) {
-        self.session_context.replay_buffer.evict_expired();
+        self.handler_context.replay_buffer.evict_expired();
     }
 
-    /// Answers one HTTP message: a request, a notification or a batch. Dropping the future drops a single request that
-    /// has not begun to stream; the requests of a batch run in tasks of their own, and end once they see that the
-    /// client has disconnected.
+    /// Handles one HTTP message: a request, a notification or a batch. Dropping the future cancels a single
+    /// request that has not begun to stream. The requests of a batch run in separate tasks, which end once
+    /// they detect that the client has disconnected.
     pub async fn respond(self: Rc<Self>, body: Bytes, client: &Rc<ClientSocket>) -> Response<ResponseBody> {
-        Session::new(self.session_context.clone(), client.clone()).respond(body).await
+        MessageHandler::new(self.handler_context.clone(), client.clone()).respond(body).await
     }
 }
--- a/src/frontend/request_body.rs
+++ b/src/frontend/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies within the limits on their length and on the memory that all of them take.
+//! Reads request bodies within the size limit of each and the memory budget of all.
 
 use crate::frontend::error::RequestError;
 use crate::net::server::client_socket::ClientSocket;
@@ -9,18 +9,20 @@
 use hyper::body::{Body, Incoming};
 use std::rc::Rc;
 
-/// A body that has been received to its end.
+/// A body that has been received in full.
 pub struct RequestBody {
-    /// Its bytes.
+    /// The content.
     pub bytes: Bytes,
-    /// The memory that they take, to be kept for as long as they are.
+    /// The memory reserved for `bytes`, to be held as long as they are.
     pub reservation: MemoryReservation,
 }
 
-/// Reads a body to its end. How long that may take is decided by the connection, which closes when a request is overdue.
+/// Reads a body to its end. It has no timeout of its own: the connection closes when receiving a request
+/// takes too long.
 ///
 /// # Errors
-/// The body is too long, could not be read, found no memory left, or is followed by bytes that its length leaves out.
+/// The body exceeds its size limit or the memory budget, reading it failed, or its declared length is
+/// followed by excess bytes.
 pub async fn read_body(
     mut body: Incoming,
     client: &ClientSocket,
@@ -32,8 +34,8 @@
     let mut bytes = BytesMut::new();
     let mut reservation = MemoryReservation::new(budget.clone());
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| RequestError::BodyBroken)?;
-        // Trailers are of no use here.
+        let frame = frame.map_err(|_| RequestError::BodyReadFailed)?;
+        // Trailers are ignored.
         let Ok(data) = frame.into_data() else { continue };
         if bytes.len() + data.len() > MAX_BODY_BYTES {
             return Err(RequestError::BodyTooLong);
--- a/src/frontend/response_body.rs
+++ b/src/frontend/response_body.rs
@@ -10,19 +10,20 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The body of a response: a fixed one or a stream.
+/// The body of a response, fixed or streamed.
 pub enum ResponseBody {
-    /// Bytes that are known when the response begins; `None` once they are sent, or if there are none.
+    /// A complete body; `None` once it is sent, or if it is empty.
     Fixed(Option<Bytes>),
-    /// A worker's stream, forwarded unchanged. Dropped before its end, it reports that the client has disconnected.
+    /// A worker's stream, forwarded unchanged. Dropping it early reports to the driver that the client has
+    /// disconnected.
     Stream(ResponseStream, DisconnectGuard),
-    /// A stream that the frontend writes itself.
-    Lines(mpsc::Receiver<Frame>),
-    /// A stream that has broken, and fails at the next poll.
-    Breaking,
+    /// JSON lines that the JSON-RPC frontend generates.
+    JsonLines(mpsc::Receiver<Frame>),
+    /// A stream that broke: the next poll returns the error.
+    Broken,
 }
 
-/// A worker's stream broke: the client's connection ends without the last chunk.
+/// The worker's stream broke off: hyper closes the client's connection without sending the last chunk.
 #[derive(Debug, thiserror::Error)]
 #[error("the worker's stream broke")]
 pub struct StreamBroken;
@@ -47,27 +48,27 @@
             ResponseBody::Stream(stream, disconnect_guard) => match stream.poll_next(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(frame) => {
-                    // At its end, complete or broken, the driver knows already that the stream is over.
+                    // The driver already knows that the stream has ended or broken.
                     if !matches!(frame, Some(Frame::Data(_))) {
                         disconnect_guard.finished();
                     }
                     frame
                 }
             },
-            ResponseBody::Lines(lines) => match lines.poll_recv(cx) {
+            ResponseBody::JsonLines(lines) => match lines.poll_recv(cx) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(frame) => frame,
             },
-            ResponseBody::Breaking => return Poll::Ready(Some(Err(StreamBroken))),
+            ResponseBody::Broken => return Poll::Ready(Some(Err(StreamBroken))),
         };
         match next {
             Some(Frame::Data(data)) => Poll::Ready(Some(Ok(BodyFrame::data(data)))),
             Some(Frame::End) => Poll::Ready(None),
             None => {
-                // When a body fails, hyper drops what it has not written yet, even the head: a stream that broke right
-                // after its first event would look like no response at all. If the body is pending once, hyper writes
-                // everything out first.
-                *body = ResponseBody::Breaking;
+                // When a body fails, hyper drops all unwritten output, even the response head: a stream that
+                // broke right after its first event would look like no response at all. Returning `Pending`
+                // once makes hyper flush its output first.
+                *body = ResponseBody::Broken;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
@@ -86,7 +87,7 @@
     }
 }
 
-/// A response of plain text.
+/// Builds a plain-text response.
 pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Fixed(Some(text.into())));
     *response.status_mut() = status;
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -1,9 +1,9 @@
-//! Handles the requests of clients: routes them by path, checks them, and submits them to the driver.
+//! The tower service for client requests: routes them by path, validates them and submits them to the driver.
 
+use crate::frontend::chat_completions::{self, ParsedRequest};
 use crate::frontend::context::{ActiveRequestId, ServiceContext};
 use crate::frontend::error::{RETRY_AFTER, RequestError};
 use crate::frontend::jsonrpc::JsonRpcService;
-use crate::frontend::platform::{self, ParsedRequest};
 use crate::frontend::request_body::{RequestBody, read_body};
 use crate::frontend::response_body::{ResponseBody, plain_text};
 use crate::net::Local;
@@ -25,27 +25,28 @@
 use tokio::sync::watch;
 use tower::Service;
 
-/// The path of the health check.
 const HEALTH_PATH: &str = "/healthz";
 
-/// The tower service that answers the requests of all connections.
+/// Answers the requests of all client connections.
 #[derive(Clone)]
 pub struct RequestService {
-    /// What all connections share.
+    /// The state shared by all connections.
     pub context: Rc<ServiceContext>,
     /// The JSON-RPC frontend, if one is configured.
     pub jsonrpc: Option<Rc<JsonRpcService>>,
 }
 
-/// What a request keeps for as long as an attempt or a release of it is outstanding, after its response too. Otherwise
-/// another client could send a request with the same id while a worker still streams the first one.
+/// Resources that a request holds until its last attempt or cache release has ended, which may be after its
+/// response. Freed earlier, its id could be used by another client while a worker still streams the first
+/// answer.
 struct RequestResources {
     _id: ActiveRequestId,
     _body_memory: MemoryReservation,
 }
 
 impl RequestService {
-    /// Answers one request. What can't be submitted to the driver is answered, counted and logged here.
+    /// Answers one request. A request that can't be submitted to the driver is answered with an error,
+    /// counted and logged.
     async fn respond(self, received: ReceivedRequest) -> Response<ResponseBody> {
         let ReceivedRequest { request, client, shutdown } = received;
         let label = RequestLabel::new(&request);
@@ -56,7 +57,7 @@
         result.unwrap_or_else(|error| {
             let reason = error.to_string();
             let response = error.into_response(&self.context.counters);
-            // Only a 503 is a rejection, which promises that a retry does no harm.
+            // Only a 503 is a rejection, after which a retry is safe.
             match response.status() {
                 StatusCode::SERVICE_UNAVAILABLE => {
                     log::debug!("connection {}: {label} rejected: {reason}", client.number());
@@ -70,10 +71,10 @@
         })
     }
 
-    /// Passes a request to the protocol that is served at its path.
+    /// Dispatches a request to the protocol served at its path.
     ///
     /// # Errors
-    /// Nothing is served at its path with its method, or the request can't be submitted to the driver.
+    /// The path or the method is not served, or the request can't be submitted to the driver.
     async fn route(
         &self,
         request: Request<Incoming>,
@@ -93,13 +94,13 @@
             return Ok(jsonrpc.respond(bytes, client).await);
         }
         match (path, request.method()) {
-            (platform::PATH, &Method::POST) => self.complete_chat(request, client, shutdown).await,
-            (platform::PATH | HEALTH_PATH, _) => Err(RequestError::MethodNotAllowed),
+            (chat_completions::PATH, &Method::POST) => self.complete_chat(request, client, shutdown).await,
+            (chat_completions::PATH | HEALTH_PATH, _) => Err(RequestError::MethodNotAllowed),
             _ => Err(RequestError::UnknownPath),
         }
     }
 
-    /// The response to a health check.
+    /// Answers a health check.
     fn health(&self) -> Response<ResponseBody> {
         if (self.context.is_ready)() {
             plain_text(StatusCode::OK, "ready\n")
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Answers a request of the platform's protocol.
+    /// Answers a chat completion request.
     async fn complete_chat(
         &self,
         request: Request<Incoming>,
@@ -117,7 +118,7 @@
     ) -> Result<Response<ResponseBody>, RequestError> {
         let driver = &self.context.driver;
         let (head, body) = request.into_parts();
-        let mut parsed = platform::decode(&head.headers, driver.clock.ago(client.pipeline_wait()))?;
+        let mut parsed = chat_completions::decode(&head.headers, driver.clock.ago(client.pipeline_wait()))?;
         if !self.context.request_classes.contains(&parsed.spec.class) {
             return Err(RequestError::UnknownClass);
         }
@@ -130,11 +131,12 @@
         let ParsedRequest { id, spec, .. } = parsed;
         let pending = driver.submit_request(spec, forwarded_request(id, head, body, active_id, client));
         let (response, disconnect_guard) = pending.response_unless_disconnected(client.disconnected()).await;
-        Ok(platform::encode(response, disconnect_guard))
+        Ok(chat_completions::encode(response, disconnect_guard))
     }
 }
 
-/// Checks what may have changed while the request waited behind an earlier one, or to be accepted.
+/// Checks conditions that may have changed while the request was pipelined behind an earlier one or its
+/// connection waited to be accepted.
 fn check_can_be_submitted(
     client: &ClientSocket,
     shutdown: &watch::Receiver<ShutdownPhase>,
@@ -142,14 +144,15 @@
     if client.has_disconnected() {
         return Err(RequestError::ClientDisconnected);
     }
-    // The process may end before the deadline of a request that arrives this late; sent elsewhere, nothing of it is lost.
+    // The process may exit before the deadline of a request that arrives this late; another router can still
+    // serve it.
     if *shutdown.borrow() == ShutdownPhase::Closing {
         return Err(RequestError::ShuttingDown);
     }
     Ok(())
 }
 
-/// The request as it is forwarded to workers.
+/// Builds the request that is forwarded to workers.
 fn forwarded_request(
     id: String,
     head: Parts,
@@ -157,12 +160,13 @@
     active_id: ActiveRequestId,
     client: &Rc<ClientSocket>,
 ) -> ForwardedRequest {
-    let target = head.uri.path_and_query().map_or(platform::PATH, |target| target.as_str()).to_owned();
+    let target =
+        head.uri.path_and_query().map_or(chat_completions::PATH, |target| target.as_str()).to_owned();
     let resources: Rc<dyn Any> = Rc::new(RequestResources { _id: active_id, _body_memory: body.reservation });
     ForwardedRequest {
         id,
         target,
-        headers: platform::end_to_end_headers(head.headers),
+        headers: chat_completions::end_to_end_headers(head.headers),
         body: body.bytes,
         client: client.connection(),
         resources: Some(resources),
@@ -188,6 +192,6 @@
     type Body = ResponseBody;
 
     fn overload_response(&self) -> Response<ResponseBody> {
-        platform::rejection(Some(RETRY_AFTER))
+        chat_completions::rejection(Some(RETRY_AFTER))
     }
 }
