--- a/src/frontend/chat_completions.rs
+++ b/src/frontend/chat_completions.rs
@@ -103,15 +103,15 @@
     /// The request's id, which workers receive too.
     pub id: String,
     /// The request's description for the policy. The prompt's length may be unknown until
-    /// [`ParsedRequest::complete_spec`].
+    /// [`ParsedRequest::estimate_missing_prompt_length`].
     pub spec: RequestSpec,
-    is_prompt_length_stated: bool,
+    has_prompt_length: bool,
 }
 
 impl ParsedRequest {
     /// Estimates the prompt's length from the length of the body if the headers do not state it.
-    pub fn complete_spec(&mut self, body_bytes: usize) {
-        if !self.is_prompt_length_stated {
+    pub fn estimate_missing_prompt_length(&mut self, body_bytes: usize) {
+        if !self.has_prompt_length {
             self.spec.prompt_tokens = body_bytes as u64 / BYTES_PER_TOKEN;
         }
     }
@@ -144,7 +144,7 @@
         class: class.to_owned(),
         tenant: tenant.map(Into::into),
     };
-    Ok(ParsedRequest { id: id.to_owned(), spec, is_prompt_length_stated: extras.prompt_tokens.is_some() })
+    Ok(ParsedRequest { id: id.to_owned(), spec, has_prompt_length: extras.prompt_tokens.is_some() })
 }
 
 /// The fields of the `X-Extras` header.
--- a/src/frontend/chat_completions/tests.rs
+++ b/src/frontend/chat_completions/tests.rs
@@ -42,13 +42,13 @@
 #[test]
 fn a_missing_prompt_length_is_estimated_from_the_body() {
     let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70")), 0).unwrap();
-    parsed.complete_spec(100);
+    parsed.estimate_missing_prompt_length(100);
     assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (25, 70));
 }
 
 #[test]
 fn a_stated_prompt_length_is_kept_and_limits_the_prefix_length() {
     let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70, prompt_len=60")), 0).unwrap();
-    parsed.complete_spec(100);
+    parsed.estimate_missing_prompt_length(100);
     assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (60, 60));
 }
--- a/src/frontend/jsonrpc/active_calls.rs
+++ b/src/frontend/jsonrpc/active_calls.rs
@@ -1,7 +1,7 @@
 //! The calls in progress, by the names that clients gave their requests.
 //!
-//! A name has at most one call at a time. A client that resumes a stream takes it over from its old connection, which
-//! may not have noticed yet that it is broken.
+//! A name has at most one call at a time. A client that resumes a stream on a new connection takes it over
+//! from the call on the old one, which may not have detected yet that the connection is broken.
 
 use super::error::RpcError;
 use std::cell::{Cell, RefCell};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Why a call ends before its answer does.
+/// Why a call is interrupted before its answer is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interruption {
     /// The client cancelled the request.
@@ -18,9 +18,9 @@
     Superseded,
 }
 
-/// What the table knows of a call.
+/// A call in the table.
 struct Entry {
-    /// Tells the call's task to stop.
+    /// Interrupts the call's task.
     interrupt: watch::Sender<Option<Interruption>>,
     is_streaming: Rc<Cell<bool>>,
     number: u64,
@@ -33,26 +33,26 @@
 }
 
 impl ActiveCalls {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Rc<Self> {
         Rc::new(ActiveCalls { by_name: RefCell::default(), next_number: Cell::new(1) })
     }
 
-    /// Enters a call under its name until the returned guard is dropped. A call that resumes a stream in progress
-    /// supersedes it.
+    /// Registers a call under its name until the returned guard is dropped. A call that resumes a stream in
+    /// progress supersedes the call that relays it.
     ///
     /// # Errors
-    /// A call of this name is in progress, and this one may not supersede it.
-    pub fn register(self: &Rc<Self>, name: Rc<str>, resumes: bool) -> Result<ActiveCall, RpcError> {
+    /// A call of this name is in progress and can't be superseded by this one.
+    pub fn register(self: &Rc<Self>, name: Rc<str>, is_resume: bool) -> Result<ActiveCall, RpcError> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let (interrupt, interruption) = watch::channel(None);
         let is_streaming = Rc::new(Cell::new(false));
         let mut by_name = self.by_name.borrow_mut();
         if let Some(earlier) = by_name.get(&name) {
-            // Only a stream can be resumed. A second call beside one that is still waiting for its first event could
-            // execute a request twice that is not idempotent.
-            if !resumes || !earlier.is_streaming.get() {
+            // Only a stream can be resumed. Beside a call that still waits for its first event, a second one
+            // could execute a non-idempotent request twice.
+            if !is_resume || !earlier.is_streaming.get() {
                 return Err(RpcError::DuplicateRequest);
             }
             earlier.interrupt.send_replace(Some(Interruption::Superseded));
@@ -62,7 +62,7 @@
         Ok(ActiveCall { calls: self.clone(), name, number, is_streaming, interruption })
     }
 
-    /// Interrupts the call of this name; whether there is one.
+    /// Cancels the call of this name. Returns whether there is one.
     pub fn cancel(&self, name: &str) -> bool {
         let by_name = self.by_name.borrow();
         let Some(entry) = by_name.get(name) else { return false };
@@ -71,7 +71,7 @@
     }
 }
 
-/// A call in progress. Dropping it frees its name, unless a newer call has taken the name over.
+/// Guard of a registered call. Dropping it frees the call's name, unless a newer call has superseded it.
 pub struct ActiveCall {
     calls: Rc<ActiveCalls>,
     name: Rc<str>,
@@ -86,22 +86,22 @@
         &self.name
     }
 
-    /// A number that no other call of this process has.
+    /// The call's number, unique in this process.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Notes that the answer's stream has begun: from now on a resumed request may take over.
+    /// Records that the answer has begun to stream: from now on a resumed request may supersede this call.
     pub fn mark_streaming(&self) {
         self.is_streaming.set(true);
     }
 
-    /// Waits until the call is to stop. Dropping the future loses nothing: the next one resolves at once if the
-    /// interruption has come meanwhile.
+    /// Resolves when the call is interrupted. Cancel-safe: once interrupted, every later wait resolves at
+    /// once.
     pub async fn interrupted(&mut self) -> Interruption {
         match self.interruption.wait_for(Option::is_some).await.as_deref() {
             Ok(Some(interruption)) => *interruption,
-            // The entry is gone from the table without a word: only a newer call replaces it.
+            // The sender was dropped with the table's entry, which only a newer call replaces.
             Ok(None) | Err(_) => Interruption::Superseded,
         }
     }
--- a/src/frontend/jsonrpc/active_calls/tests.rs
+++ b/src/frontend/jsonrpc/active_calls/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of the table of active calls.
+//! Unit tests of the table of calls in progress.
 
 use super::*;
 
-fn register(calls: &Rc<ActiveCalls>, resumes: bool) -> Result<ActiveCall, RpcError> {
-    calls.register("r-1".into(), resumes)
+fn register(calls: &Rc<ActiveCalls>, is_resume: bool) -> Result<ActiveCall, RpcError> {
+    calls.register("r-1".into(), is_resume)
 }
 
 #[tokio::test]
-async fn a_resume_supersedes_a_call_that_streams_and_no_other() {
+async fn a_resume_supersedes_only_a_call_that_streams() {
     let calls = ActiveCalls::new();
     let mut first = register(&calls, false).unwrap();
     assert_eq!(register(&calls, false).err(), Some(RpcError::DuplicateRequest));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_dropped_call_frees_its_name_but_not_that_of_the_call_that_superseded_it() {
+fn dropping_a_superseded_call_does_not_free_the_name_of_its_successor() {
     let calls = ActiveCalls::new();
     let first = register(&calls, false).unwrap();
     first.mark_streaming();
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_call_is_interrupted_even_if_it_begins_to_wait_later() {
+async fn a_cancellation_is_seen_by_a_call_that_waits_for_it_later() {
     let calls = ActiveCalls::new();
     let mut call = register(&calls, false).unwrap();
     assert!(calls.cancel("r-1"));
--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -1,4 +1,4 @@
-//! One call: from its parameters to the forwarded request and the stream of its answer.
+//! Starts calls: validates a request, forwards it to workers and waits for its answer to stream.
 
 use super::active_calls::{ActiveCall, ActiveCalls};
 use super::error::RpcError;
@@ -17,45 +17,45 @@
 use std::rc::Rc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What the relay of an answer needs of its call.
+/// The state of a call that the relay of its answer needs.
 pub struct CallContext {
-    /// The id of the client's request, for the response.
+    /// The JSON-RPC id of the client's request, for the response.
     pub id: Option<Box<RawValue>>,
-    /// Tool calls of the answer so far, those before a resume included.
+    /// The number of tool calls in the answer so far, including those before a resume.
     pub tool_calls: u32,
-    /// The call's place in the table.
+    /// The call's registration in the table of calls in progress.
     pub active_call: ActiveCall,
 }
 
 /// A call whose answer streams.
 ///
-/// The fields are dropped in this order: first the driver hears that the client disconnected (unless the stream had
-/// ended), then the stream closes, and last the name of the request is free again.
+/// The order of the fields is their drop order: first the driver is notified that the client disconnected
+/// (unless the stream has ended), then the stream closes, and last the request's name becomes free.
 pub struct StreamingCall {
-    /// Reports a disconnect to the driver unless it is told that the stream has ended.
+    /// Reports a disconnect to the driver if it is dropped before the stream has ended.
     pub disconnect_guard: DisconnectGuard,
     /// The decode worker's stream.
     pub stream: ResponseStream,
-    /// What is known of the call.
+    /// The call's state for the relay.
     pub context: CallContext,
 }
 
-/// Starts calls.
+/// Starts calls and registers them in the table of calls in progress.
 pub struct CallStarter {
     context: Rc<ServiceContext>,
     active_calls: Rc<ActiveCalls>,
-    /// Seeds the ids under which workers know the calls.
+    /// The seed of the ids of forwarded requests.
     seed: u64,
 }
 
 impl CallStarter {
-    /// A starter that enters its calls in this table.
+    /// Creates a starter that registers its calls in `active_calls`.
     pub fn new(context: Rc<ServiceContext>, active_calls: Rc<ActiveCalls>, seed: u64) -> Self {
         CallStarter { context, active_calls, seed }
     }
 
-    /// Checks a request, forwards it, and waits until its answer begins to stream. Dropping the future tells the driver
-    /// that the client disconnected, and frees the request's name.
+    /// Validates a request, forwards it, and waits until its answer begins to stream. Dropping the future
+    /// reports to the driver that the client disconnected, and frees the request's name.
     ///
     /// # Errors
     /// The request is malformed, a duplicate or cancelled, or the driver rejected or failed it.
@@ -68,13 +68,13 @@
             return Err(RpcError::MethodNotFound);
         }
         let params = CompletionParams::decode(request.params.as_deref())?;
-        let body = Bytes::from(params.prompt(&request.method));
+        let body = Bytes::from(params.worker_body(&request.method));
         if body.len() > MAX_BODY_BYTES {
             return Err(RpcError::PromptTooLong);
         }
-        let resumes = params.resume.is_some();
+        let is_resume = params.resume.is_some();
         let tool_calls = params.resume.as_ref().map_or(0, |resume| resume.tool_calls);
-        let mut active_call = self.active_calls.register(params.name.as_str().into(), resumes)?;
+        let mut active_call = self.active_calls.register(params.name.as_str().into(), is_resume)?;
         let spec = self.request_spec(params, request.method, body.len(), client);
         let forwarded = self.forwarded_request(active_call.number(), body, client);
         log::debug!(
@@ -84,8 +84,8 @@
             forwarded.id
         );
         let pending = self.context.driver.submit_request(spec, forwarded);
-        // Not biased: a cancellation that is ready together with the answer may win or lose. Where it wins, the pending
-        // response is dropped, which cancels the request at the driver.
+        // Not biased: if a cancellation and the answer are ready together, either may win. If the
+        // cancellation wins, dropping the pending response cancels the request at the driver.
         let (response, disconnect_guard) = tokio::select! {
             response = pending.response_unless_disconnected(client.disconnected()) => response,
             _ = active_call.interrupted() => return Err(RpcError::Cancelled),
@@ -101,7 +101,8 @@
         }
     }
 
-    /// What the policy learns of a request. Its time began when its first byte waited on the client's connection.
+    /// Describes a request for the policy. Its deadline counts from when its first byte waited on the
+    /// client's connection.
     fn request_spec(
         &self,
         params: CompletionParams,
@@ -125,8 +126,8 @@
         }
     }
 
-    /// The request as workers receive it. Its id is new for every call, as it is on the platform's path; what lasts
-    /// over resumes is the client's name for the request.
+    /// Builds the request for workers. Every call has a new id; the client's name for the request is the
+    /// identity that stays the same across resumes.
     fn forwarded_request(
         &self,
         call_number: u64,
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -1,40 +1,40 @@
-//! The errors that clients and decode workers receive as JSON-RPC error objects.
+//! The errors sent to clients and decode workers as JSON-RPC error objects.
 
 use crate::interface::Micros;
 use hyper::StatusCode;
 use serde::Serialize;
 
-/// Error objects give times in seconds, the driver in microseconds.
+/// Converts the driver's microseconds to the seconds of error objects.
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Why the router answers a client's request with an error.
 ///
-/// The `Display` text is the message of the error object, so it is fixed by the protocol with clients: there a request
-/// that is "in hand" is an active one, and a "refused" one has been rejected.
+/// The `Display` text is the error object's message and part of the protocol, where "in hand" means active
+/// and "refused" means rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RpcError {
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error("parse error")]
     Parse,
-    /// The message is no JSON-RPC request, or the batch is empty or too long.
+    /// The message is not a JSON-RPC request, or the batch is empty or has too many requests.
     #[error("invalid request")]
     InvalidRequest,
-    /// The method is no request class.
+    /// The method is not a configured request class.
     #[error("method not found")]
     MethodNotFound,
-    /// The parameters are missing, malformed or out of bounds.
+    /// The parameters are missing, malformed or out of range.
     #[error("invalid params")]
     InvalidParams,
-    /// The body for the workers would be too long.
+    /// The request body for workers would exceed its size limit.
     #[error("prompt too long")]
     PromptTooLong,
-    /// A call of this name is in progress and can't be taken over.
+    /// A call of this name is in progress and can't be superseded.
     #[error("a request of this name is in hand")]
     DuplicateRequest,
     /// The request was rejected before it had any effect.
     #[error("refused; trying again is harmless")]
     Rejected {
-        /// When to come back, in seconds.
+        /// When the client should retry, in seconds from now.
         retry_after: Option<f64>,
     },
     /// The request failed, and may have had an effect.
@@ -49,12 +49,12 @@
 }
 
 impl RpcError {
-    /// A rejection, with the driver's advice when to retry.
+    /// Creates a rejection with the driver's `Retry-After`.
     pub fn rejected(retry_after: Option<Micros>) -> Self {
         RpcError::Rejected { retry_after: retry_after.map(|micros| micros as f64 / MICROS_PER_SECOND) }
     }
 
-    /// The advice when to retry, as the error object gives it.
+    /// The time after which the client should retry, if the error states one.
     pub fn retry_after(&self) -> Option<Micros> {
         match self {
             RpcError::Rejected { retry_after } => {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The HTTP status that tells intermediaries the same.
+    /// The HTTP status of a response with this error, for intermediaries.
     pub fn status(&self) -> StatusCode {
         match self {
             RpcError::Parse | RpcError::InvalidRequest | RpcError::InvalidParams => StatusCode::BAD_REQUEST,
@@ -73,7 +73,7 @@
             RpcError::DuplicateRequest => StatusCode::CONFLICT,
             RpcError::Rejected { .. } => StatusCode::SERVICE_UNAVAILABLE,
             RpcError::Failed | RpcError::StreamBroken => StatusCode::BAD_GATEWAY,
-            // The client has got what it asked for.
+            // The cancellation was the client's own wish.
             RpcError::Cancelled => StatusCode::OK,
         }
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The further data of the error object; only a rejection has any.
+    /// The `data` of the error object; only a rejection has any.
     fn data(&self) -> Option<ErrorData> {
         match self {
             RpcError::Rejected { retry_after } => retry_after.map(|retry_after| ErrorData { retry_after }),
@@ -102,27 +102,27 @@
     }
 }
 
-/// Why the router answers a decode worker's tool call with an error of its own.
+/// Why the router, rather than the tool, answers a decode worker's tool call with an error.
 ///
-/// The `Display` text is the message of the error object, so it is a part of the protocol.
+/// The `Display` text is the error object's message and part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ToolCallError {
-    /// The tool server was never reached: the call did not run, and a repeat may try again.
+    /// The call did not reach the tool server in full: it did not run, and may be repeated.
     #[error("tool not reached; it did not run")]
     NotReached,
-    /// The call was sent and no usable answer came: it may have run and is not sent again.
+    /// The call was sent, but no usable response was received: it may have run and is not sent again.
     #[error("outcome unknown; the call may have run")]
     OutcomeUnknown,
-    /// The key belongs to a call with other arguments.
+    /// Another call with the same key had different arguments.
     #[error("call repeated with other arguments")]
     KeyReused,
-    /// The arguments exceed their limit.
+    /// The arguments exceed their size limit.
     #[error("arguments too long; the tool did not run")]
     ArgumentsTooLong,
-    /// The result exceeds its limit.
+    /// The result exceeds its size limit.
     #[error("result too long; the tool has run")]
     ResultTooLong,
-    /// There is no capacity for another call.
+    /// The replay buffer is full, or the request has made too many calls.
     #[error("too many calls; the tool did not run")]
     NoCapacity,
     /// The client cancelled its request while the tool was running.
@@ -145,7 +145,7 @@
     }
 }
 
-/// An error object of the router's own.
+/// An error object that the router created.
 #[derive(Debug, Serialize)]
 pub struct ErrorObject {
     code: i32,
@@ -156,7 +156,7 @@
 
 #[derive(Debug, Serialize)]
 struct ErrorData {
-    /// In seconds.
+    /// In seconds from now.
     retry_after: f64,
 }
 
--- a/src/frontend/jsonrpc/output.rs
+++ b/src/frontend/jsonrpc/output.rs
@@ -1,4 +1,4 @@
-//! Where the lines of an answer go: to the client as they come, or into one text for the response of a batch.
+//! The output of an answer: lines streamed to the client, or text collected for the response to a batch.
 
 use super::protocol::Notification;
 use super::relay_error::RelayError;
@@ -9,56 +9,57 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Lines that may wait for a slow client before the relay waits too.
-const LINE_BUFFER: usize = 16;
-/// The most text that is collected for one answer of a batch.
+/// The lines buffered for a slow client before the relay of its answer waits.
+const LINE_CHANNEL_CAPACITY: usize = 16;
+/// The most text collected for one answer of a batch.
 const MAX_COLLECTED_BYTES: usize = 256 * 1024;
 
 /// The output of one answer.
 pub enum AnswerOutput {
-    /// Lines of a streamed response body. Dropping it without [`AnswerOutput::finish`] breaks the body off, which tells
-    /// the client that its answer is incomplete.
+    /// Lines of a streamed response body. Dropping it without [`AnswerOutput::finish`] ends the body with an
+    /// error, by which the client detects that its answer is incomplete.
     Streamed(mpsc::Sender<Frame>),
-    /// The text of an answer within a batch: only its response is sent, in the end.
+    /// The text of an answer within a batch, which is sent only as part of the batch's response.
     Collected {
         /// The text so far.
         text: String,
-        /// The connection on which the batch came.
+        /// The connection on which the batch was received.
         client: Rc<ClientSocket>,
     },
 }
 
 impl AnswerOutput {
-    /// A streamed output and the body's end of it.
+    /// Creates a streamed output, and the channel from which the response body reads its lines.
     pub fn streamed() -> (AnswerOutput, mpsc::Receiver<Frame>) {
-        let (sender, body) = mpsc::channel(LINE_BUFFER);
+        let (sender, body) = mpsc::channel(LINE_CHANNEL_CAPACITY);
         (AnswerOutput::Streamed(sender), body)
     }
 
-    /// A collected output for a request of this client.
+    /// Creates an output that collects the answer to a request of this client.
     pub fn collected(client: Rc<ClientSocket>) -> AnswerOutput {
         AnswerOutput::Collected { text: String::new(), client }
     }
 
-    /// Adds text of the answer.
+    /// Sends or collects a piece of the answer's text.
     ///
     /// # Errors
-    /// The client is gone, or the text exceeds what may be collected.
-    pub async fn delta(&mut self, request: &str, text: &str) -> Result<(), RelayError> {
+    /// The client disconnected or stopped reading, or the collected text exceeds its limit.
+    pub async fn send_delta(&mut self, request: &str, text: &str) -> Result<(), RelayError> {
         if let AnswerOutput::Collected { text: collected, .. } = self {
             if collected.len() + text.len() > MAX_COLLECTED_BYTES {
                 return Err(RelayError::AnswerTooLong);
             }
             collected.push_str(text);
         }
-        self.line(Notification::Delta { text }.encode(request)).await
+        self.send_line(Notification::Delta { text }.encode(request)).await
     }
 
-    /// Sends a line to a client that streams; nothing otherwise. Waits while the client is slow, up to its timeout.
+    /// Sends a line to the client if the output is streamed, and waits for a slow client up to the write
+    /// timeout.
     ///
     /// # Errors
-    /// The client is gone or takes nothing.
-    pub async fn line(&mut self, mut line: Vec<u8>) -> Result<(), RelayError> {
+    /// The client disconnected or stopped reading.
+    pub async fn send_line(&mut self, mut line: Vec<u8>) -> Result<(), RelayError> {
         let AnswerOutput::Streamed(body) = self else { return Ok(()) };
         line.push(b'\n');
         let sending = body.send(Frame::Data(line.into()));
@@ -68,9 +69,9 @@
         }
     }
 
-    /// Sends the last line and ends the body in order.
+    /// Sends the last line and ends the body cleanly.
     pub async fn finish(mut self, last_line: Vec<u8>) {
-        if self.line(last_line).await.is_err() {
+        if self.send_line(last_line).await.is_err() {
             return;
         }
         if let AnswerOutput::Streamed(body) = self {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Resolves when the client is gone. The future keeps nothing of `self` borrowed.
+    /// Resolves when the client disconnects. The future does not borrow `self`.
     pub fn disconnected(&self) -> Local<()> {
         match self {
             AnswerOutput::Streamed(body) => {
--- a/src/frontend/jsonrpc/params.rs
+++ b/src/frontend/jsonrpc/params.rs
@@ -1,4 +1,4 @@
-//! The parameters of clients' requests, and the body that is forwarded to workers in their place.
+//! The parameters of clients' requests, and the request body for workers that is built from them.
 
 use super::error::RpcError;
 use super::protocol::encode;
@@ -7,50 +7,50 @@
 use serde_json::value::RawValue;
 use std::ops::RangeInclusive;
 
-/// The deadlines that a client may state, in milliseconds.
-const DEADLINE_MS: RangeInclusive<u64> = 1..=600_000;
-/// The longest session or prefix key.
+/// The accepted deadlines.
+const DEADLINE_RANGE_MS: RangeInclusive<u64> = 1..=600_000;
+/// The longest accepted session or prefix key.
 const MAX_KEY_BYTES: usize = 256;
 
-/// What a client asks of a model.
+/// The parameters of a completion request.
 #[derive(Debug, Deserialize)]
 pub struct CompletionParams {
-    /// The client's name for the request, the same each time that it resumes the answer.
+    /// The client's name for the request, which stays the same across resumes.
     #[serde(rename = "request")]
     pub name: String,
-    /// The time within which the client wants its answer.
+    /// The client's deadline, relative to when it sent the request.
     pub deadline_ms: u64,
-    /// The conversation that the request belongs to.
+    /// The key of the session that the request belongs to.
     pub session: Option<String>,
-    /// The key of a prefix that the prompt shares with others.
+    /// The key of the prefix that the prompt shares with other prompts.
     pub prefix: Option<String>,
-    /// The tokens of that prefix.
+    /// The length of that prefix in tokens.
     #[serde(default, rename = "prefix_len")]
     pub prefix_tokens: u64,
-    /// The tokens of the whole prompt, if the client knows them.
+    /// The length of the whole prompt in tokens, if the client knows it.
     #[serde(rename = "prompt_len")]
     pub prompt_tokens: Option<u64>,
-    /// The most tokens of the answer; 0 leaves it to the worker.
+    /// The most tokens of the answer; 0 leaves the limit to the worker.
     #[serde(default, rename = "max_out")]
     pub max_tokens: u64,
-    /// The conversation's messages, forwarded as they are.
+    /// The conversation's messages, forwarded unchanged.
     pub messages: Box<RawValue>,
-    /// What the client has of an answer that broke.
+    /// The part of the answer received before its stream broke, if the client resumes it.
     pub resume: Option<ResumePoint>,
 }
 
-/// What a client has of an answer that broke.
+/// The part of an answer that a client received before its stream broke.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct ResumePoint {
     /// The number of `tool` notifications with the state `calling` that came before the last `delta`.
     #[serde(rename = "calls")]
     pub tool_calls: u32,
-    /// The text so far.
+    /// The text received so far.
     pub text: String,
 }
 
 impl CompletionParams {
-    /// Decodes and checks the parameters of a request.
+    /// Decodes and validates the parameters of a request.
     ///
     /// # Errors
     /// They are missing, malformed or out of bounds.
@@ -61,19 +61,20 @@
         if params.is_valid() { Ok(params) } else { Err(RpcError::InvalidParams) }
     }
 
-    /// Whether the values are within their bounds.
+    /// Whether the values are within their limits.
     fn is_valid(&self) -> bool {
-        let fits = |key: &Option<String>| key.as_ref().is_none_or(|key| key.len() <= MAX_KEY_BYTES);
+        let is_within_limit =
+            |key: &Option<String>| key.as_ref().is_none_or(|key| key.len() <= MAX_KEY_BYTES);
         is_plain_id(&self.name)
-            && DEADLINE_MS.contains(&self.deadline_ms)
+            && DEADLINE_RANGE_MS.contains(&self.deadline_ms)
             && self.messages.get().starts_with('[')
-            && fits(&self.session)
-            && fits(&self.prefix)
+            && is_within_limit(&self.session)
+            && is_within_limit(&self.prefix)
     }
 
-    /// The body for the workers; the class of the request is their model.
-    pub fn prompt(&self, class: &str) -> Vec<u8> {
-        encode(&Prompt {
+    /// Encodes the request body for workers. The request class becomes its `model`.
+    pub fn worker_body(&self, class: &str) -> Vec<u8> {
+        encode(&WorkerRequestBody {
             model: class,
             stream: true,
             max_tokens: self.max_tokens,
@@ -83,9 +84,9 @@
     }
 }
 
-/// The body that workers receive.
+/// The request body for workers.
 #[derive(Serialize)]
-struct Prompt<'a> {
+struct WorkerRequestBody<'a> {
     model: &'a str,
     stream: bool,
     #[serde(skip_serializing_if = "is_zero")]
--- a/src/frontend/jsonrpc/protocol.rs
+++ b/src/frontend/jsonrpc/protocol.rs
@@ -1,72 +1,74 @@
-//! JSON-RPC 2.0 messages as they stand on the wire.
+//! The wire format of JSON-RPC 2.0 messages.
 
 use super::error::{ErrorObject, RpcError};
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::value::RawValue;
 
-/// The protocol version that every message names.
+/// The JSON-RPC version, which every message states.
 const VERSION: &str = "2.0";
 
-/// Deserializes a field that may be `null`, so that `null` and an absent field stay apart.
-pub fn nullable<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Box<RawValue>>, D::Error> {
+/// Deserializes a nullable field so that `null` is `Some`, and thus distinct from an absent field.
+pub fn deserialize_nullable<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<Box<RawValue>>, D::Error> {
     Box::<RawValue>::deserialize(deserializer).map(Some)
 }
 
 /// A JSON-RPC request or notification, from a client or from a decode worker.
 #[derive(Debug, Deserialize)]
 pub struct RpcRequest {
-    /// The protocol version; [`RpcRequest::is_valid`] checks it.
+    /// The JSON-RPC version; [`RpcRequest::is_valid`] checks it.
     pub jsonrpc: String,
     /// The sender's id for the request; a notification has none.
-    #[serde(default, deserialize_with = "nullable")]
+    #[serde(default, deserialize_with = "deserialize_nullable")]
     pub id: Option<Box<RawValue>>,
-    /// The method.
+    /// The method name.
     pub method: String,
-    /// The parameters as they came.
-    #[serde(default, deserialize_with = "nullable")]
+    /// The parameters, not decoded yet.
+    #[serde(default, deserialize_with = "deserialize_nullable")]
     pub params: Option<Box<RawValue>>,
 }
 
-/// A message that is no JSON-RPC request, with its id if it has a usable one.
+/// A message that is not a valid JSON-RPC request.
 #[derive(Debug, thiserror::Error)]
-#[error("the message is no JSON-RPC 2.0 request")]
+#[error("the message is not a valid JSON-RPC 2.0 request")]
 pub struct InvalidRequest {
-    /// The id for the error response.
+    /// The message's id for the error response, if it has a valid one.
     pub id: Option<Box<RawValue>>,
 }
 
 impl RpcRequest {
-    /// Decodes and checks one message.
+    /// Decodes and validates one message.
     ///
     /// # Errors
-    /// The message is no valid request.
+    /// The message is not a valid request.
     pub fn decode(raw: &RawValue) -> Result<RpcRequest, InvalidRequest> {
         match serde_json::from_str::<RpcRequest>(raw.get()) {
             Ok(request) if request.is_valid() => Ok(request),
-            _ => Err(InvalidRequest { id: usable_id(raw) }),
+            _ => Err(InvalidRequest { id: find_valid_id(raw) }),
         }
     }
 
-    /// Whether it meets what the specification asks beyond the types of the fields.
+    /// Whether it meets the requirements of the specification beyond the fields' types.
     pub fn is_valid(&self) -> bool {
         let id_is_valid = self.id.as_ref().is_none_or(|id| is_valid_id(id));
         let params_are_valid = self.params.as_ref().is_none_or(|p| p.get().starts_with(['{', '[']));
         self.jsonrpc == VERSION && id_is_valid && params_are_valid
     }
 
-    /// Whether nothing may answer it.
+    /// Whether it is a notification, to which no response may be sent.
     pub fn is_notification(&self) -> bool {
         self.id.is_none()
     }
 }
 
-/// Whether an id is a string, a number or null.
+/// Whether an id is a string, a number or null, as the specification requires.
 fn is_valid_id(id: &RawValue) -> bool {
     !id.get().starts_with(['{', '[', 't', 'f'])
 }
 
-/// The id of a message that is otherwise invalid.
-fn usable_id(raw: &RawValue) -> Option<Box<RawValue>> {
+/// Finds the id of a message that is otherwise invalid.
+fn find_valid_id(raw: &RawValue) -> Option<Box<RawValue>> {
     #[derive(Deserialize)]
     struct IdOnly {
         id: Option<Box<RawValue>>,
@@ -75,7 +77,7 @@
     message.id.filter(|id| is_valid_id(id))
 }
 
-/// A response, from the router to a client or a decode worker, or from the tool server to the router.
+/// A response from the router to a client or a decode worker.
 #[derive(Serialize)]
 struct Response<'a, R: Serialize, E: Serialize> {
     jsonrpc: &'static str,
@@ -86,24 +88,24 @@
     error: Option<E>,
 }
 
-/// A response with a result. The specification wants an id in every response: null where none could be read.
+/// Encodes a response with a result. As the specification requires, an unknown id is written as null.
 pub fn encode_result(id: Option<&RawValue>, result: impl Serialize) -> Vec<u8> {
     let id = id.unwrap_or(RawValue::NULL);
     encode(&Response { jsonrpc: VERSION, id, result: Some(result), error: None::<()> })
 }
 
-/// A response with an error, with the same rule for the id.
+/// Encodes a response with an error. An unknown id is written as null.
 pub fn encode_error(id: Option<&RawValue>, error: impl Serialize) -> Vec<u8> {
     let id = id.unwrap_or(RawValue::NULL);
     encode(&Response { jsonrpc: VERSION, id, result: None::<()>, error: Some(error) })
 }
 
-/// A response to a client with one of the router's errors.
+/// Encodes a response to a client with one of the router's errors.
 pub fn encode_rpc_error(id: Option<&RawValue>, error: &RpcError) -> Vec<u8> {
     encode_error(id, ErrorObject::from(error))
 }
 
-/// What a client is told while its answer streams.
+/// A notification to a client while its answer streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notification<'a> {
     /// More of the answer's text.
@@ -111,29 +113,29 @@
         /// The text since the last delta.
         text: &'a str,
     },
-    /// A step of a tool call.
+    /// A change of a tool call's state.
     Tool {
         /// The number of tool calls before this one in the answer.
         ordinal: u32,
-        /// How far it has come.
-        state: ToolState,
+        /// The call's new state.
+        state: ToolCallState,
     },
 }
 
-/// How far a tool call has come.
+/// The state of a tool call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ToolState {
-    /// The call goes to the tool server.
+pub enum ToolCallState {
+    /// The call is being executed.
     Calling,
-    /// The tool gave a result.
+    /// The tool returned a result.
     Done,
-    /// The tool or the router gave an error.
+    /// The tool or the router returned an error.
     Error,
 }
 
 impl Notification<'_> {
-    /// The message about the answer to the client's request of this name.
+    /// Encodes the notification; `request` is the client's name for its request.
     pub fn encode(&self, request: &str) -> Vec<u8> {
         let (method, text, ordinal, state) = match *self {
             Notification::Delta { text } => ("delta", Some(text), None, None),
@@ -159,19 +161,19 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     ordinal: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    state: Option<ToolState>,
+    state: Option<ToolCallState>,
 }
 
 /// The result of a client's request, once its answer is complete.
 #[derive(Serialize)]
 pub struct AnswerResult<'a> {
-    /// The name of the client's request.
+    /// The client's name for its request.
     pub request: &'a str,
-    /// Why the worker ended the answer.
+    /// The worker's finish reason.
     pub finish: &'a str,
     /// The number of tool calls in the answer.
     pub calls: u32,
-    /// The whole text, where it was not streamed.
+    /// The whole text, if it was not streamed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub text: Option<&'a str>,
     /// The worker's token counts.
@@ -179,7 +181,7 @@
     pub usage: Option<&'a RawValue>,
 }
 
-/// A tool call as the tool server receives it.
+/// A tool call for the tool server.
 #[derive(Serialize)]
 pub struct ToolRequest<'a> {
     jsonrpc: &'static str,
@@ -190,7 +192,7 @@
 }
 
 impl<'a> ToolRequest<'a> {
-    /// A call under an id of the router's own.
+    /// Creates a call with an id that the router chose.
     pub fn new(id: &'a str, method: &'a str, params: Option<&'a RawValue>) -> Self {
         ToolRequest { jsonrpc: VERSION, id, method, params }
     }
@@ -202,21 +204,22 @@
     jsonrpc: String,
     id: String,
     /// The result, which may be null.
-    #[serde(default, deserialize_with = "nullable")]
+    #[serde(default, deserialize_with = "deserialize_nullable")]
     pub result: Option<Box<RawValue>>,
-    /// The tool's error.
+    /// The tool's error object.
     pub error: Option<Box<RawValue>>,
 }
 
 impl ToolResponse {
-    /// Whether it responds to the call of this id.
+    /// Whether it is the response to the call with this id.
     pub fn answers(&self, id: &str) -> bool {
         self.jsonrpc == VERSION && self.id == id
     }
 }
 
-/// Encodes a message of the router's own.
+/// Encodes a message that the router sends.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // None of these types can fail to serialize: no maps with keys other than strings, no numbers that JSON lacks.
+    // None of the message types can fail to serialize: they have no maps with non-string keys and
+    // no non-finite numbers.
     serde_json::to_vec(message).unwrap_or_default()
 }
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -13,27 +13,28 @@
 use serde_json::value::RawValue;
 use std::rc::Rc;
 
-/// The relay of one answer. Dropped before the stream has ended, it tells the driver that the client disconnected.
+/// Relays one answer. Dropping it before the stream has ended reports to the driver that the client
+/// disconnected.
 pub struct AnswerRelay {
-    // In the order in which a `StreamingCall` is dropped.
+    // These three must be dropped in the same order as the fields of `StreamingCall`.
     disconnect_guard: DisconnectGuard,
     stream: ResponseStream,
     context: CallContext,
     replay_buffer: Rc<ReplayBuffer>,
-    events: SseDecoder,
+    decoder: SseDecoder,
     finish_reason: String,
     usage: Option<Box<RawValue>>,
 }
 
 impl AnswerRelay {
-    /// The relay of this call's answer.
+    /// Creates the relay of this call's answer.
     pub fn new(call: StreamingCall, replay_buffer: Rc<ReplayBuffer>) -> Self {
         AnswerRelay {
             disconnect_guard: call.disconnect_guard,
             stream: call.stream,
             context: call.context,
             replay_buffer,
-            events: SseDecoder::default(),
+            decoder: SseDecoder::default(),
             finish_reason: "stop".into(),
             usage: None,
         }
@@ -44,8 +45,8 @@
         self.context.active_call.name().clone()
     }
 
-    /// Relays the answer with its tool calls, and gives the response that ends it. The request's name is free when this
-    /// returns.
+    /// Relays the answer with its tool calls, and returns the final JSON-RPC response. The request's name is
+    /// free once this returns.
     ///
     /// # Errors
     /// The answer is incomplete.
@@ -53,7 +54,7 @@
         let id = self.context.id.clone();
         match self.relay_stream(output).await {
             Ok(()) => Ok(self.response(output)),
-            // A cancelled request has its response all the same.
+            // A cancelled request still gets a response.
             Err(RelayError::Cancelled) => Ok(encode_rpc_error(id.as_deref(), &RpcError::Cancelled)),
             Err(error) => Err(error),
         }
@@ -62,11 +63,11 @@
     /// Relays the stream until its end.
     ///
     /// # Errors
-    /// The answer is incomplete: its stream broke, or nobody wants it any more.
+    /// The answer is incomplete: its stream broke, the call was interrupted, or the client disconnected.
     async fn relay_stream(&mut self, output: &mut AnswerOutput) -> Result<(), RelayError> {
         loop {
-            // Biased: a stream that always has a frame ready must not hide that nobody wants it any more. Each branch
-            // may be dropped and waited for anew without a loss.
+            // Biased: a stream that always has a frame ready must not starve interruptions and disconnects.
+            // Each branch is cancel-safe.
             let frame = tokio::select! {
                 biased;
                 interruption = self.context.active_call.interrupted() => return Err(interruption.into()),
@@ -74,7 +75,7 @@
                 frame = self.stream.next() => frame,
             };
             match frame {
-                Some(Frame::Data(data)) => self.events.push(&data)?,
+                Some(Frame::Data(data)) => self.decoder.push(&data)?,
                 Some(Frame::End) => {
                     self.disconnect_guard.finished();
                     return Ok(());
@@ -88,9 +89,9 @@
         }
     }
 
-    /// Relays all whole events that have been received.
+    /// Relays all events that have been received in full.
     async fn relay_events(&mut self, output: &mut AnswerOutput) -> Result<(), RelayError> {
-        while let Some(data) = self.events.next_event()? {
+        while let Some(data) = self.decoder.next_event()? {
             match WorkerEvent::decode(&data)? {
                 WorkerEvent::Empty => {}
                 WorkerEvent::Chunk(chunk) => self.relay_chunk(chunk, output).await?,
@@ -100,14 +101,14 @@
         Ok(())
     }
 
-    /// Sends the text of a piece of the answer, and keeps what the last response needs of it.
+    /// Sends the text of a chunk, and records its finish reason and token counts for the final response.
     async fn relay_chunk(&mut self, chunk: AnswerChunk, output: &mut AnswerOutput) -> Result<(), RelayError> {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
         }
         for choice in chunk.choices {
             if let Some(text) = choice.text() {
-                output.delta(self.context.active_call.name(), text).await?;
+                output.send_delta(self.context.active_call.name(), text).await?;
             }
             if let Some(reason) = choice.finish_reason {
                 self.finish_reason = reason;
@@ -116,7 +117,7 @@
         Ok(())
     }
 
-    /// Relays a tool call under its ordinal in the answer, those before a resume counted.
+    /// Relays a tool call. Its ordinal in the answer counts the tool calls before a resume too.
     async fn relay_tool_call(
         &mut self,
         request: RpcRequest,
@@ -128,14 +129,14 @@
             key: ToolCallKey { request: self.name(), ordinal },
             request,
             stream: &mut self.stream,
-            events: &mut self.events,
+            decoder: &mut self.decoder,
             active_call: &mut self.context.active_call,
             output,
         };
         relay.run(&self.replay_buffer).await
     }
 
-    /// The response to a complete answer.
+    /// Builds the final response, after a complete answer.
     fn response(&self, output: &AnswerOutput) -> Vec<u8> {
         let result = AnswerResult {
             request: self.context.active_call.name(),
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -1,8 +1,10 @@
-//! The replay buffer of tool calls: it keeps a tool from running twice when a stream breaks and is resumed.
+//! The replay buffer of tool calls, which prevents a tool call from being executed twice when a stream breaks
+//! and is resumed.
 //!
-//! A call's key is the client's name for its request and the call's ordinal in the answer, never the decode worker's
-//! id for the call. The entry is made before the first byte goes to the tool server, and outlives the stream, the
-//! worker and the client's connection. A repeat of the call is answered from its entry.
+//! The key of a call consists of the client's name for its request and the call's ordinal in the answer; the
+//! decode worker's id for the call is no part of it. The entry is created before the first byte is sent to
+//! the tool server, and outlives the stream, the worker and the client's connection. A repeated call is
+//! answered from its entry.
 
 use super::error::ToolCallError;
 use super::protocol::{ToolRequest, encode};
@@ -19,12 +21,12 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// What an entry takes beside its outcome.
+/// The estimated size of an entry without its outcome.
 const ENTRY_OVERHEAD_BYTES: usize = 256;
-/// The least time between two searches for expired entries.
+/// The minimum time between two scans for expired entries.
 const EVICTION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The key of a tool call: the same each time that its answer is resumed.
+/// The key of a tool call, which stays the same across resumes of its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ToolCallKey {
     /// The client's name for its request.
@@ -34,15 +36,15 @@
 }
 
 impl ToolCallKey {
-    /// The call's id and idempotency key at the tool server.
+    /// The call's JSON-RPC id and idempotency key at the tool server.
     fn tool_request_id(&self) -> String {
         format!("{}/{}", self.request, self.ordinal)
     }
 }
 
-/// A call that was sent, and its outcome once there is one.
+/// A call that was started, with its outcome once it has completed.
 struct Entry {
-    /// Tells repeats of the call from other calls under its key.
+    /// Distinguishes a repeat of the call from another call with the same key.
     arguments_digest: u128,
     /// `None` while the call is in flight.
     outcome: watch::Receiver<Option<ToolOutcome>>,
@@ -52,11 +54,11 @@
     bytes: usize,
 }
 
-/// The entries by key, and the memory that they take.
+/// The entries by key, and their total size.
 #[derive(Default)]
 struct Entries {
     by_key: HashMap<ToolCallKey, Entry>,
-    /// The sum over all entries.
+    /// The sum of `bytes` over all entries.
     bytes: usize,
 }
 
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Notes that a call has ended with an outcome of this length.
+    /// Records that a call has completed with an outcome of this size.
     fn complete(&mut self, key: &ToolCallKey, outcome_bytes: usize) {
         if let Some(entry) = self.by_key.get_mut(key) {
             entry.completed = Some(Instant::now());
@@ -81,14 +83,14 @@
         }
     }
 
-    /// Removes the entries of calls that ended at least so long ago.
+    /// Removes the entries of calls that completed longer ago than `retention`.
     fn evict_completed(&mut self, retention: Duration) {
         self.by_key.retain(|_, entry| entry.completed.is_none_or(|at| at.elapsed() < retention));
         self.bytes = self.by_key.values().map(|entry| entry.bytes).sum();
     }
 }
 
-/// The replay buffer, and the client of the tool server behind it.
+/// Executes tool calls through the client of the tool server, and retains their outcomes.
 pub struct ReplayBuffer {
     entries: RefCell<Entries>,
     last_eviction: Cell<Option<Instant>>,
@@ -98,7 +100,7 @@
 }
 
 impl ReplayBuffer {
-    /// An empty buffer.
+    /// Creates an empty buffer.
     pub fn new(settings: ToolSettings, connect_timeout: Duration, counters: Rc<Counters>) -> Rc<Self> {
         let client = ToolClient::new(&settings, connect_timeout, counters.clone());
         Rc::new(ReplayBuffer {
@@ -110,12 +112,12 @@
         })
     }
 
-    /// Answers a tool call: from its entry, by waiting for the same call in flight, or by running the tool, at most
-    /// once for a key. Dropping the future leaves the call running, as its outcome is wanted when the answer is
-    /// resumed.
+    /// Answers a tool call from its entry, by waiting for the same call in flight, or by executing it, at
+    /// most once for each key. Dropping the future leaves the call running, as its outcome is needed when the
+    /// answer is resumed.
     ///
     /// # Errors
-    /// The router has no reply of the tool.
+    /// The router has no reply from the tool.
     pub async fn call(
         self: &Rc<Self>,
         key: ToolCallKey,
@@ -133,7 +135,7 @@
         outcome
     }
 
-    /// Cancels the calls in flight of a request; their outcome is unknown from then on.
+    /// Cancels the calls in flight of a request. Their outcome is then unknown.
     pub fn cancel(&self, request: &str) {
         for (key, entry) in &self.entries.borrow().by_key {
             if &*key.request == request && entry.completed.is_none() {
@@ -142,8 +144,8 @@
         }
     }
 
-    /// Removes outcomes that have been kept for long enough, and closes idle connections to the tool server. Does
-    /// nothing within a second of the last time.
+    /// Removes expired outcomes and closes idle connections to the tool server. Does nothing within
+    /// `EVICTION_INTERVAL` of the last run.
     pub fn evict_expired(&self) {
         if self.last_eviction.get().is_some_and(|at| at.elapsed() < EVICTION_INTERVAL) {
             return;
@@ -154,16 +156,16 @@
         self.client.close_expired();
     }
 
-    /// Finds the call of this key, or starts it.
+    /// Joins the call with this key if there is one, or starts it.
     fn join_or_start(
         self: &Rc<Self>,
         key: ToolCallKey,
         method: &str,
         params: Option<&RawValue>,
     ) -> Result<watch::Receiver<Option<ToolOutcome>>, ToolCallError> {
-        let arguments_digest = digest(method, params);
+        let arguments_digest = digest_arguments(method, params);
         if let Some(entry) = self.entries.borrow().by_key.get(&key) {
-            // Guards against a model that makes another call in the same place after a resume: the recorded outcome
+            // After a resume a model may make a different call at the same position: the recorded outcome
             // does not answer it, and running it would be a second execution under one key.
             if entry.arguments_digest != arguments_digest {
                 return Err(ToolCallError::KeyReused);
@@ -186,15 +188,15 @@
         Ok(self.start(key, arguments_digest, id, body.into()))
     }
 
-    /// Whether there is no capacity for another entry. An unexpired entry is never evicted to make room: its call
-    /// could run a second time.
+    /// Whether there is no capacity for another entry. Unexpired entries are never evicted to make room, as
+    /// their calls could then run a second time.
     fn is_full(&self) -> bool {
         let entries = self.entries.borrow();
         entries.by_key.len() >= self.settings.max_replay_entries
             || entries.bytes + ENTRY_OVERHEAD_BYTES > self.settings.max_replay_bytes
     }
 
-    /// Makes the entry of a call and starts the call in a task of its own.
+    /// Creates the entry of a call and spawns a task that executes the call.
     fn start(
         self: &Rc<Self>,
         key: ToolCallKey,
@@ -211,7 +213,7 @@
             completed: None,
             bytes: ENTRY_OVERHEAD_BYTES,
         };
-        // From here on a repeat finds the call; no byte of it has gone out yet.
+        // A repeat finds the entry from here on, before the first byte of the call is sent.
         self.entries.borrow_mut().insert(key.clone(), entry);
         let buffer = self.clone();
         tokio::task::spawn_local(async move {
@@ -222,7 +224,8 @@
         outcome
     }
 
-    /// Keeps the outcome of a call, unless the tool can't have run: then a repeat starts it anew.
+    /// Records the outcome of a call, or removes its entry if the tool can't have run, so that a repeat
+    /// executes it.
     fn record(&self, key: &ToolCallKey, outcome: &ToolOutcome) {
         let mut entries = self.entries.borrow_mut();
         match outcome {
@@ -233,17 +236,17 @@
     }
 }
 
-/// Waits until the call in flight has an outcome. Cancel-safe: the outcome stays in the channel.
+/// Waits for the outcome of a call in flight. Cancel-safe: the outcome stays in the channel.
 async fn wait_for_outcome(mut pending: watch::Receiver<Option<ToolOutcome>>) -> ToolOutcome {
     match pending.wait_for(Option::is_some).await.as_deref() {
         Ok(Some(outcome)) => outcome.clone(),
-        // The task that ran the call ended without an outcome (it panicked, for one).
+        // The task that executed the call ended without an outcome, for example because it panicked.
         Ok(None) | Err(_) => Err(ToolCallError::OutcomeUnknown),
     }
 }
 
-/// A digest of a call's arguments: the same for the same values, however a worker spaces or orders them.
-fn digest(method: &str, params: Option<&RawValue>) -> u128 {
+/// Digests a call's method and arguments. White space and the order of object keys do not change the digest.
+fn digest_arguments(method: &str, params: Option<&RawValue>) -> u128 {
     let value: serde_json::Value =
         params.and_then(|p| serde_json::from_str(p.get()).ok()).unwrap_or_default();
     xxh3_128(format!("{method}\n{value}").as_bytes())
--- a/src/frontend/jsonrpc/sse.rs
+++ b/src/frontend/jsonrpc/sse.rs
@@ -1,43 +1,44 @@
-//! Server-sent events out of a decode worker's byte stream.
+//! Decodes server-sent events from a decode worker's byte stream.
 
 use bytes::BytesMut;
 
-/// The longest event, and what may be buffered while a tool call is in progress.
+/// The longest accepted event. During a tool call, no more of the stream is read once this much is buffered.
 pub const MAX_EVENT_BYTES: usize = 128 * 1024;
-/// The most that is buffered at all: what is left of one event and one more chunk of the stream.
+/// The most bytes buffered: an incomplete event and one more chunk of the stream.
 const MAX_BUFFERED_BYTES: usize = 2 * MAX_EVENT_BYTES;
 
-/// Why a byte stream can't be read as events.
+/// Why a byte stream can't be decoded as events.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SseError {
-    /// More bytes wait than the buffer may hold.
-    #[error("{0} bytes wait for their events to be relayed, more than may be buffered")]
+    /// More bytes are pending than the buffer may hold.
+    #[error("{0} bytes are pending, more than may be buffered")]
     BufferFull(usize),
-    /// An event has no end within its bound.
-    #[error("an event has no end within {0} bytes")]
+    /// An event exceeds its size limit.
+    #[error("an event exceeds {0} bytes")]
     EventTooLong(usize),
-    /// A line is no text.
+    /// A line is not UTF-8.
     #[error("a line of an event is not UTF-8: {0}")]
     NotUtf8(#[from] std::str::Utf8Error),
 }
 
-/// Collects bytes and gives out the data of whole events. That the bytes are events at all has been checked by
-/// [`EventStream`](crate::net::upstream::event_stream::EventStream), which passes them on unchanged.
+/// Buffers bytes and returns the data of complete events.
+/// [`EventStream`](crate::net::upstream::event_stream::EventStream) has already checked that the bytes are
+/// events, and passes them on unchanged.
 #[derive(Default)]
 pub struct SseDecoder {
     buffer: BytesMut,
 }
 
 impl SseDecoder {
-    /// The bytes that wait.
+    /// The number of bytes that are not decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Adds bytes of the stream.
+    /// Appends bytes of the stream.
     ///
     /// # Errors
-    /// Too many bytes wait.
+    /// The buffer would exceed its limit.
     pub fn push(&mut self, data: &[u8]) -> Result<(), SseError> {
         self.buffer.extend_from_slice(data);
         if self.buffer.len() > MAX_BUFFERED_BYTES {
@@ -46,7 +47,8 @@
         Ok(())
     }
 
-    /// The data of the next whole event, or `None` until more bytes have come. Comments and other fields are skipped.
+    /// Returns the data of the next complete event, or `None` until more bytes are pushed. Comments and other
+    /// fields are skipped.
     ///
     /// # Errors
     /// The next event is too long or not UTF-8.
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -1,5 +1,5 @@
-//! The client of the tool server: sends one tool call, and tells apart calls that can't have run from those that may
-//! have.
+//! The client of the tool server. It sends tool calls, and distinguishes failed calls that can't have run
+//! from those that may have.
 
 use super::error::ToolCallError;
 use super::protocol::ToolResponse;
@@ -19,28 +19,28 @@
 use tokio::sync::watch;
 use tower::{Service, ServiceExt};
 
-/// Between two attempts to connect. A retry is harmless as nothing has run yet.
-const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Attempts to connect for one call.
-const MAX_CONNECT_ATTEMPTS: u32 = 3;
+/// The pause between attempts of a call. Retries are safe as the tool has not run yet.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// The most attempts of one call; only attempts that can't have reached the tool are retried.
+const MAX_ATTEMPTS: u32 = 3;
 /// How long an idle connection to the tool server is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The tool server's name, in the `host` header and in the connection pool.
-const TOOL_SERVER: &str = "tools";
+const TOOL_SERVER_HOST: &str = "tools";
 
-/// What a tool answered.
+/// A tool's reply.
 #[derive(Clone, Debug)]
 pub enum ToolReply {
-    /// Its result.
+    /// The result of a successful call.
     Result(Rc<RawValue>),
-    /// Its error object.
+    /// The tool's own error object.
     Error(Rc<RawValue>),
 }
 
-/// How a tool call ended: with the tool's reply, or with the router's reason for having none.
+/// The tool's reply, or the router's reason for having none.
 pub type ToolOutcome = Result<ToolReply, ToolCallError>;
 
-/// How far a call has come on its way to the tool server.
+/// Whether a call may have reached the tool server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     /// The request was not written in full: the tool can't have run.
@@ -49,17 +49,17 @@
     Possible,
 }
 
-/// A call on its way.
+/// A call in flight.
 struct PendingCall<'a> {
     id: &'a str,
     body: Bytes,
     delivery: Cell<Delivery>,
 }
 
-/// Why a call brought no reply from the tool.
+/// Why there is no usable reply from the tool server.
 #[derive(Debug, thiserror::Error)]
-enum ExchangeError {
-    #[error("no answer within {0:?}")]
+enum ToolServerError {
+    #[error("no response within {0:?}")]
     TimedOut(Duration),
     #[error("connecting to the tool server: {0}")]
     Connect(#[from] ConnectError),
@@ -71,11 +71,11 @@
     ReadBody(#[source] hyper::Error),
     #[error("the result exceeds {0} bytes")]
     ResultTooLong(usize),
-    #[error("status {status}, no JSON-RPC response: {source}")]
-    NoJsonRpc { status: StatusCode, source: serde_json::Error },
-    #[error("the response is to another call")]
+    #[error("status {status} without a JSON-RPC response: {source}")]
+    InvalidResponse { status: StatusCode, source: serde_json::Error },
+    #[error("the response has the id of another call")]
     MismatchedResponse,
-    #[error("the response has neither or both of result and error")]
+    #[error("the response must have either a result or an error")]
     AmbiguousResponse,
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl ToolClient {
-    /// A client without connections yet.
+    /// Creates a client without connections.
     pub fn new(settings: &ToolSettings, connect_timeout: Duration, counters: Rc<Counters>) -> Self {
         let limits = PoolLimits {
             sockets: settings.max_concurrent_calls,
@@ -108,16 +108,16 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have exceeded the idle timeout.
     pub fn close_expired(&self) {
         self.pool.close_expired();
     }
 
-    /// Sends a call, until the tool replies, the call times out or it is cancelled. Dropping the future closes the
-    /// call's connection; the tool may have run.
+    /// Sends a call and waits until the tool replies, the call times out or it is cancelled. Dropping the
+    /// future closes the call's connection; the tool may have run.
     ///
     /// # Errors
-    /// There is no reply. [`ToolCallError::NotReached`] alone promises that the tool did not run.
+    /// There is no reply. Only [`ToolCallError::NotReached`] guarantees that the tool did not run.
     pub async fn execute(
         &self,
         id: &str,
@@ -125,10 +125,10 @@
         mut is_cancelled: watch::Receiver<bool>,
     ) -> ToolOutcome {
         let call = PendingCall { id, body, delivery: Cell::new(Delivery::Incomplete) };
-        // Not biased: each branch ends the call, and of two that are ready at once either may decide how.
+        // Not biased: each branch ends the call, and if several are ready, any of them may win.
         let result = tokio::select! {
             result = self.send_with_retries(&call) => result,
-            () = tokio::time::sleep(self.call_timeout) => Err(ExchangeError::TimedOut(self.call_timeout)),
+            () = tokio::time::sleep(self.call_timeout) => Err(ToolServerError::TimedOut(self.call_timeout)),
             _ = is_cancelled.wait_for(|is_cancelled| *is_cancelled) => {
                 return Err(match call.delivery.get() {
                     Delivery::Incomplete => ToolCallError::NotReached,
@@ -137,7 +137,7 @@
             }
         };
         result.map_err(|error| match (error, call.delivery.get()) {
-            (ExchangeError::ResultTooLong(_), _) => ToolCallError::ResultTooLong,
+            (ToolServerError::ResultTooLong(_), _) => ToolCallError::ResultTooLong,
             (error, Delivery::Incomplete) => {
                 log::warn!("tool call {id}: {error}; it did not run");
                 ToolCallError::NotReached
@@ -149,23 +149,23 @@
         })
     }
 
-    /// Sends a call, again only for as long as it can't have run.
-    async fn send_with_retries(&self, call: &PendingCall<'_>) -> Result<ToolReply, ExchangeError> {
+    /// Sends a call, and retries it only while it can't have run.
+    async fn send_with_retries(&self, call: &PendingCall<'_>) -> Result<ToolReply, ToolServerError> {
         let mut attempts = 0;
         loop {
             attempts += 1;
             let result = self.send(call).await;
-            let may_retry = call.delivery.get() == Delivery::Incomplete && attempts < MAX_CONNECT_ATTEMPTS;
+            let may_retry = call.delivery.get() == Delivery::Incomplete && attempts < MAX_ATTEMPTS;
             if result.is_ok() || !may_retry {
                 return result;
             }
-            tokio::time::sleep(CONNECT_RETRY_INTERVAL).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// One attempt, on one connection; the connection is used again once the response has been read in full.
-    async fn send(&self, call: &PendingCall<'_>) -> Result<ToolReply, ExchangeError> {
-        let target = Target { worker: WorkerId(TOOL_SERVER.into()), address: self.address };
+    /// Makes one attempt. Its connection returns to the pool once the response has been read in full.
+    async fn send(&self, call: &PendingCall<'_>) -> Result<ToolReply, ToolServerError> {
+        let target = Target { worker: WorkerId(TOOL_SERVER_HOST.into()), address: self.address };
         let mut connection = self.pool.clone().ready().await?.call(target.clone()).await?;
         let response = self.send_on(&mut connection, call).await?;
         let (head, body) = response.into_parts();
@@ -174,52 +174,54 @@
         decode_reply(call.id, head.status, &body)
     }
 
-    /// Sends a call on a connection, and records whether it may have reached the tool server.
+    /// Sends a call on a connection, and records in `call.delivery` whether it may have reached the tool
+    /// server.
     async fn send_on(
         &self,
         connection: &mut Connection,
         call: &PendingCall<'_>,
-    ) -> Result<Response<Incoming>, ExchangeError> {
+    ) -> Result<Response<Incoming>, ToolServerError> {
         let request = Request::post(&self.path)
-            .header("host", TOOL_SERVER)
+            .header("host", TOOL_SERVER_HOST)
             .header("content-type", "application/json")
             .header("idempotency-key", call.id)
             .body(Full::new(call.body.clone()))?;
         let write_progress = connection.write_progress();
         self.counters.tool_executions.increment();
-        // Should this future be dropped half-way, nobody can ask how much was written: the tool may have run.
+        // If this future is dropped before it resolves, it is not known how much was written: the tool may
+        // have run.
         call.delivery.set(Delivery::Possible);
         let response = connection.send(request, call.body.len()).await;
-        // A response says that the tool server had the request, however much of it was written.
+        // A response shows that the tool server received the request, even if it was not written in full.
         if response.is_err() && !write_progress.is_complete() {
             call.delivery.set(Delivery::Incomplete);
         }
-        response.map_err(ExchangeError::Send)
+        response.map_err(ToolServerError::Send)
     }
 
-    /// Reads a response body within the limit on results.
-    async fn read_body(&self, body: Incoming) -> Result<Bytes, ExchangeError> {
+    /// Reads a response body up to the size limit of results.
+    async fn read_body(&self, body: Incoming) -> Result<Bytes, ToolServerError> {
         match Limited::new(body, self.max_result_bytes).collect().await {
             Ok(body) => Ok(body.to_bytes()),
-            // It fails with the body's own error or, for a body over the limit, with one of its own.
+            // `Limited` passes on the body's error, or returns one of its own if the body exceeds the limit.
             Err(error) => Err(match error.downcast::<hyper::Error>() {
-                Ok(error) => ExchangeError::ReadBody(*error),
-                Err(_over_limit) => ExchangeError::ResultTooLong(self.max_result_bytes),
+                Ok(error) => ToolServerError::ReadBody(*error),
+                Err(_over_limit) => ToolServerError::ResultTooLong(self.max_result_bytes),
             }),
         }
     }
 }
 
-/// Decodes the response to the call of this id.
-fn decode_reply(id: &str, status: StatusCode, body: &[u8]) -> Result<ToolReply, ExchangeError> {
+/// Decodes the response to the call with this id.
+fn decode_reply(id: &str, status: StatusCode, body: &[u8]) -> Result<ToolReply, ToolServerError> {
     let response: ToolResponse =
-        serde_json::from_slice(body).map_err(|source| ExchangeError::NoJsonRpc { status, source })?;
+        serde_json::from_slice(body).map_err(|source| ToolServerError::InvalidResponse { status, source })?;
     if !response.answers(id) {
-        return Err(ExchangeError::MismatchedResponse);
+        return Err(ToolServerError::MismatchedResponse);
     }
     match (response.result, response.error) {
         (Some(result), None) => Ok(ToolReply::Result(result.into())),
         (None, Some(error)) => Ok(ToolReply::Error(error.into())),
-        _ => Err(ExchangeError::AmbiguousResponse),
+        _ => Err(ToolServerError::AmbiguousResponse),
     }
 }
--- a/src/frontend/jsonrpc/worker_event.rs
+++ b/src/frontend/jsonrpc/worker_event.rs
@@ -1,36 +1,36 @@
-//! What one event of a decode worker's stream means: a piece of the answer, or a tool call.
+//! Decodes the events of a decode worker's stream: chunks of the answer, and tool calls.
 
-use super::protocol::{RpcRequest, nullable};
+use super::protocol::{RpcRequest, deserialize_nullable};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The data of the event that ends a worker's stream.
+/// The data of the last event of a worker's stream.
 const END_MARKER: &str = "[DONE]";
 
 /// An event of a decode worker's stream.
 pub enum WorkerEvent {
-    /// A piece of the answer.
+    /// A chunk of the answer.
     Chunk(AnswerChunk),
     /// A JSON-RPC request or notification for the tool server.
     ToolCall(RpcRequest),
-    /// Nothing to relay: no data, or the marker of the stream's end.
+    /// Nothing to relay: an event without data, or the end marker.
     Empty,
 }
 
-/// A piece of an answer.
+/// A chunk of an answer.
 pub struct AnswerChunk {
-    /// The alternatives; workers give one.
+    /// The alternative answers; workers send one.
     pub choices: Vec<Choice>,
-    /// Token counts, in the last piece as a rule.
+    /// Token counts, usually in the last chunk.
     pub usage: Option<Box<RawValue>>,
 }
 
-/// What a piece adds to an answer.
+/// A chunk's addition to one of the alternative answers.
 #[derive(Deserialize)]
 pub struct Choice {
     #[serde(default)]
     delta: Delta,
-    /// Why the worker ended the answer, in its last piece.
+    /// Why the worker ended the answer, in the last chunk.
     pub finish_reason: Option<String>,
 }
 
@@ -40,34 +40,34 @@
 }
 
 impl Choice {
-    /// The text that it adds, if any.
+    /// The added text, if any.
     pub fn text(&self) -> Option<&str> {
         self.delta.content.as_deref().filter(|text| !text.is_empty())
     }
 }
 
-/// Why an event can't be relayed.
+/// Why an event can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkerEventError {
-    /// The data is no event that the router knows.
-    #[error("an event's data is no chunk of an answer and no JSON-RPC request: {0}")]
+    /// The data is neither a chunk of an answer nor a JSON-RPC request.
+    #[error("an event is neither a chunk of an answer nor a JSON-RPC request: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The data names a method but breaks JSON-RPC's rules.
-    #[error("a tool call of method {method:?} is no valid JSON-RPC request")]
+    /// The data has a method but violates the JSON-RPC specification.
+    #[error("a tool call with method {method:?} is not a valid JSON-RPC request")]
     InvalidToolCall {
-        /// The method that it names.
+        /// The tool call's method.
         method: String,
     },
 }
 
-/// All fields that an event may have; the method tells a tool call from a piece of the answer.
+/// The fields of both kinds of events; only a tool call has a method.
 #[derive(Deserialize)]
 struct EventFields {
     jsonrpc: Option<String>,
-    #[serde(default, deserialize_with = "nullable")]
+    #[serde(default, deserialize_with = "deserialize_nullable")]
     id: Option<Box<RawValue>>,
     method: Option<String>,
-    #[serde(default, deserialize_with = "nullable")]
+    #[serde(default, deserialize_with = "deserialize_nullable")]
     params: Option<Box<RawValue>>,
     #[serde(default)]
     choices: Vec<Choice>,
@@ -78,7 +78,7 @@
     /// Decodes the data of one event.
     ///
     /// # Errors
-    /// The data is neither a piece of an answer nor a valid tool call.
+    /// The data is neither a chunk of an answer nor a valid tool call.
     pub fn decode(data: &str) -> Result<WorkerEvent, WorkerEventError> {
         if data.is_empty() || data == END_MARKER {
             return Ok(WorkerEvent::Empty);
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -123,7 +123,7 @@
             return Err(RequestError::UnknownClass);
         }
         let body = read_body(body, client, &self.context.body_memory).await?;
-        parsed.complete_spec(body.bytes.len());
+        parsed.estimate_missing_prompt_length(body.bytes.len());
         check_can_be_submitted(client, shutdown)?;
         let active_id = self.context.active_ids.claim(&parsed.id);
         let active_id = active_id.ok_or(RequestError::DuplicateId)?;
