--- a/src/frontend/jsonrpc/protocol.rs
+++ b/src/frontend/jsonrpc/protocol.rs
@@ -170,9 +170,11 @@
     /// The client's name for its request.
     pub request: &'a str,
     /// The worker's finish reason.
-    pub finish: &'a str,
+    #[serde(rename = "finish")]
+    pub finish_reason: &'a str,
     /// The number of tool calls in the answer.
-    pub calls: u32,
+    #[serde(rename = "calls")]
+    pub tool_calls: u32,
     /// The whole text, if it was not streamed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub text: Option<&'a str>,
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -140,8 +140,8 @@
     fn response(&self, output: &AnswerOutput) -> Vec<u8> {
         let result = AnswerResult {
             request: self.context.active_call.name(),
-            finish: &self.finish_reason,
-            calls: self.context.tool_calls,
+            finish_reason: &self.finish_reason,
+            tool_calls: self.context.tool_calls,
             text: output.collected_text(),
             usage: self.usage.as_deref(),
         };
--- a/src/frontend/jsonrpc/tool_call.rs
+++ b/src/frontend/jsonrpc/tool_call.rs
@@ -64,7 +64,7 @@
         replay_buffer: &Rc<ReplayBuffer>,
     ) -> Result<CompletedToolCall, RelayError> {
         let calling = self.notification(ToolCallState::Calling);
-        let mut unsent_notification = Some(calling);
+        let mut unsent_line = Some(calling);
         let mut stream_ended = false;
         let disconnected = self.output.disconnected();
         let outcome =
@@ -77,9 +77,9 @@
             tokio::select! {
                 biased;
                 outcome = &mut outcome => break outcome,
-                sent = send_optional_line(self.output, unsent_notification.as_ref()), if unsent_notification.is_some() => {
+                sent = send_optional_line(self.output, unsent_line.as_ref()), if unsent_line.is_some() => {
                     sent?;
-                    unsent_notification = None;
+                    unsent_line = None;
                 }
                 interruption = self.active_call.interrupted() => return Err(interruption.into()),
                 () = &mut disconnected => return Err(RelayError::ClientDisconnected),
@@ -93,7 +93,7 @@
                 }
             }
         };
-        send_optional_line(self.output, unsent_notification.as_ref()).await?;
+        send_optional_line(self.output, unsent_line.as_ref()).await?;
         Ok(CompletedToolCall { outcome, stream_ended })
     }
 
