--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,5 +1,5 @@
-//! The router between scripted workers on loopback sockets: each test stands for a fault that was found or is guarded
-//! against.
+//! Tests of the router between scripted workers on loopback sockets: forwarding, retries, cancellation and
+//! rejections.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use support::*;
 
-/// A router with one prefill and one decode worker.
+/// Starts a router with one prefill and one decode worker.
 fn start_router(prefill_worker: &Peer, decode_worker: &Peer) -> RouterProcess {
     RouterProcess::start(&operator_file(&[prefill_worker.address], &[decode_worker.address], ""))
 }
@@ -43,10 +43,10 @@
     assert_eq!(counts.map(|c| counters.get(c)), [1, 2, 1, 1, 1, 0]);
 }
 
-/// Workers may need any of a request's headers, an idempotency key for one. Those of the client's connection are not
-/// forwarded, and the deadline is written anew.
+/// Workers may need any of a request's headers, such as an idempotency key. Hop-by-hop headers are not
+/// forwarded, and the deadline is rewritten.
 #[test]
-fn a_request_keeps_its_end_to_end_headers_and_no_others() {
+fn only_end_to_end_headers_are_forwarded() {
     let ((decode, messages), prefill) = (recording_decode_worker(), Peer::prefill_worker());
     let router = start_router(&prefill, &decode);
     let headers = "idempotency-key: k-1\r\nx-other: a\r\nx-other: b\r\ncontent-type: application/json\r\n\
@@ -67,17 +67,17 @@
     );
 }
 
-/// Guards against requests written to connections that their workers have dropped without a close: one stale connection
-/// is enough to distrust the others, and a request that is not idempotent is not retried on another.
+/// Guards against requests written to pooled connections that their workers have silently dropped. After one
+/// stale connection the others are not reused, and a non-idempotent request is not retried on another one.
 #[test]
 fn after_a_stale_connection_no_pooled_connection_is_reused() {
-    // A worker that answers the first request of each connection, and closes the connection at the second.
+    // A worker that answers the first request of each connection, and closes the connection on the second.
     let answers_once = |answer: fn(&mut Conn)| {
-        let seen = Mutex::new(std::collections::HashSet::new());
+        let seen_peers = Mutex::new(std::collections::HashSet::new());
         Peer::start(move |message, conn| {
-            // A connection that the router has given up meanwhile has no peer any more, and needs no answer.
+            // The router may have closed the connection already; then there is no peer to answer.
             let Ok(peer) = conn.0.peer_addr() else { return false };
-            let is_first = seen.lock().unwrap().insert(peer);
+            let is_first = seen_peers.lock().unwrap().insert(peer);
             if message.line.starts_with("DELETE") {
                 conn.answer("204 No Content", "", "");
             } else if is_first {
@@ -95,7 +95,7 @@
     let router = start_router(&prefill, &decode);
     for i in 0..10 {
         assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200, "request {i}");
-        // A pooled connection is reused only once it is known that no bytes trail the last response.
+        // A connection is reused only after a wait in which no bytes followed the last response.
         std::thread::sleep(2 * llm_router::net::upstream::pool::TRAILING_BYTES_WAIT);
     }
     assert_eq!(router.stop().get("stale_connections"), 1);
@@ -119,10 +119,10 @@
     }
 }
 
-/// Guards against a release that comes too late: sent while the second prefill attempt was in flight, it released that
-/// attempt's cache, and the decode worker found none.
+/// Guards against a late release: sent while the second prefill attempt is in flight, it would release that
+/// attempt's cache, and the decode worker would find none.
 #[test]
-fn cache_of_a_broken_prefill_is_released_before_the_next_attempt() {
+fn the_cache_of_a_failed_prefill_is_released_before_the_next_attempt() {
     let attempts = AtomicU32::new(0);
     let (prefill, lines) = recording_peer(move |_, conn| {
         if attempts.fetch_add(1, Ordering::SeqCst) == 0 {
@@ -131,7 +131,7 @@
         conn.answer("202 Accepted", "", r#"{"cached_tokens":0}"#);
         true
     });
-    // It takes no release, which has to reach the prefill worker.
+    // This worker accepts no release, so the release has to go to the prefill worker.
     let decode = Peer::start(decode_worker_without_release);
     let router = start_router(&prefill, &decode);
     assert_eq!(router.request("id-1", "send").status(), 200);
@@ -140,15 +140,16 @@
     assert!(lines.len() == 3 && lines.iter().zip(expected).all(|(l, e)| l.starts_with(e)), "{lines:?}");
 }
 
-/// Guards against a second request under the id of one whose stream still runs: other clients may choose the same id.
+/// Guards against a second request with the id of one that still streams: other clients may choose the same
+/// id.
 #[test]
-fn an_id_is_in_use_until_its_stream_has_ended() {
+fn an_id_is_active_until_its_stream_has_ended() {
     let (decode, prefill) = (GatedDecodeWorker::start(), Peer::prefill_worker());
     let router = start_router(&prefill, &decode.peer);
     let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     decode.wait_for_stream();
-    // The head of the response has come: the request has its answer, and its stream runs.
+    // The response head has been received: the request has its final answer, and still streams.
     client.fill_buf().unwrap();
     assert_eq!(router.request("id-1", "send").status(), 409);
     let _decode = decode.open_gate();
@@ -159,7 +160,7 @@
 
 #[test]
 fn a_disconnected_client_s_attempt_is_cancelled_and_its_cache_released() {
-    // A release may go to any worker of a request: one worker has both roles here.
+    // A release may go to either worker of a request, so one worker has both roles here.
     let worker = HangingWorker::start();
     let router = start_router(&worker.peer, &worker.peer);
     let mut client = router.connect();
@@ -170,11 +171,11 @@
     assert!(worker.wait_for_line("DELETE /internal/reservations/id-1"));
 }
 
-/// A client that has only closed its sending side can't be told from one that is gone: no further attempt is made for
-/// it, and it learns at once whether a retry is harmless.
+/// A half-closed connection can't be distinguished from a disconnect: the request gets no further attempt,
+/// and the client is told at once whether a retry is safe.
 #[rstest]
-#[case::of_an_idempotent_one("explain", 503)]
-#[case::of_one_that_may_have_run("send", 502)]
+#[case::idempotent("explain", 503)]
+#[case::non_idempotent("send", 502)]
 fn a_client_that_half_closes_gets_the_outcome_of_its_request(#[case] class: &str, #[case] status: u16) {
     let worker = HangingWorker::start();
     let router = start_router(&worker.peer, &worker.peer);
@@ -189,10 +190,10 @@
     assert_eq!(worker.requests_received(), 1);
 }
 
-/// Guards against work for a client that is gone: a close was noticed only once the requests ahead of it had been read,
-/// and a disconnected client's pipelined requests were forwarded one after another.
+/// Guards against work for a disconnected client: if the close is detected only after the pipelined requests
+/// ahead of it have been read, they are all forwarded one after another.
 #[test]
-fn a_disconnect_behind_pipelined_requests_is_noticed_at_once_and_ends_them_all() {
+fn a_disconnect_behind_pipelined_requests_is_detected_at_once_and_cancels_them_all() {
     let worker = HangingWorker::start();
     let router = start_router(&worker.peer, &worker.peer);
     let mut client = router.connect();
@@ -209,7 +210,8 @@
     assert_eq!(worker.requests_received(), 1);
 }
 
-/// Guards against delayed rejections: what the policy gives up is rejected at once, with advice when to retry.
+/// Guards against delayed rejections: a request that the policy gives up is rejected at once, with
+/// `Retry-After`.
 #[test]
 fn a_request_without_a_worker_is_rejected_with_retry_after_long_before_its_deadline() {
     let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
@@ -220,15 +222,18 @@
 }
 
 #[rstest]
-#[case::no_toml("listen = ", "line 1")]
-#[case::no_settings("listen = \"127.0.0.1:0\"", "settings")]
-#[case::setting("listen = \"127.0.0.1:0\"\n[settings]\nmy_zone = \"z\"", "classes.count")]
-fn an_invalid_configuration_is_a_failure_with_one_line(#[case] text: &str, #[case] named: &str) {
+#[case::invalid_toml("listen = ", "line 1")]
+#[case::missing_settings("listen = \"127.0.0.1:0\"", "settings")]
+#[case::incomplete_settings("listen = \"127.0.0.1:0\"\n[settings]\nmy_zone = \"z\"", "classes.count")]
+fn an_invalid_configuration_ends_the_process_with_a_one_line_error(
+    #[case] text: &str,
+    #[case] expected: &str,
+) {
     let file =
         std::env::temp_dir().join(format!("llm-router-broken-{}-{}.toml", std::process::id(), text.len()));
     std::fs::write(&file, text).unwrap();
-    let done = Command::new(env!("CARGO_BIN_EXE_llm-router")).arg("serve").arg(&file).output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_llm-router")).arg("serve").arg(&file).output().unwrap();
     std::fs::remove_file(&file).unwrap();
-    let error = String::from_utf8(done.stderr).unwrap();
-    assert!(!done.status.success() && error.lines().count() == 1 && error.contains(named), "{error}");
+    let error = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && error.lines().count() == 1 && error.contains(expected), "{error}");
 }
--- a/tests/support/tool_server.rs
+++ b/tests/support/tool_server.rs
@@ -1,12 +1,12 @@
-//! A scripted tool server, and the decode worker's side of a tool call.
+//! A scripted tool server, and decode workers that call tools.
 
 use super::{Conn, Message, Peer, RouterProcess, operator_file};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
 
-/// A tool call as a decode worker streams it.
-pub const TOOL_CALL: &str = r#"{"jsonrpc":"2.0","id":"w-1","method":"annex.fetch","params":{"page":1}}"#;
+/// The JSON-RPC request with which a decode worker calls a tool.
+pub const TOOL_CALL: &str = r#"{"jsonrpc":"2.0","id":"w-1","method":"page.fetch","params":{"page":1}}"#;
 
 /// A tool server that counts its executions by idempotency key.
 pub struct ToolServer {
@@ -15,21 +15,21 @@
 }
 
 impl ToolServer {
-    /// Starts a tool server. The tool gives the fields of its response that follow the id; it may block first.
+    /// Starts a tool server. `tool` returns the fields of the response that follow the id, and may block.
     pub fn start(tool: impl Fn() -> String + Send + Sync + 'static) -> ToolServer {
         let executions = Arc::new(Mutex::new(HashMap::new()));
-        let counted = executions.clone();
+        let execution_counts = executions.clone();
         let peer = Peer::start(move |message, conn| {
             let key = message.header("idempotency-key").unwrap().to_owned();
             assert!(message.text().contains(&format!(r#""id":"{key}""#)));
-            *counted.lock().unwrap().entry(key.clone()).or_insert(0) += 1;
+            *execution_counts.lock().unwrap().entry(key.clone()).or_insert(0) += 1;
             conn.answer("200 OK", "", &format!(r#"{{"jsonrpc":"2.0","id":"{key}",{}}}"#, tool()));
             true
         });
         ToolServer { peer, executions }
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.peer.address
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// The tool results that decode workers were sent, by the id of the answer's request.
+/// The tool results that decode workers have received, by request id.
 #[derive(Default)]
 pub struct ToolResults {
     by_id: Mutex<HashMap<String, String>>,
@@ -48,20 +48,20 @@
 }
 
 impl ToolResults {
-    /// Keeps a result for the stream that waits for it.
+    /// Stores a result for the stream that waits for it.
     pub fn put(&self, id: &str, result: String) {
         self.by_id.lock().unwrap().insert(id.to_owned(), result);
         self.changed.notify_all();
     }
 
-    /// Waits for the result of a request's tool call, and takes it.
+    /// Waits for the result of a request's tool call, and removes it.
     pub fn take(&self, id: &str) -> String {
         let by_id = self.by_id.lock().unwrap();
         let mut by_id = self.changed.wait_while(by_id, |by_id| !by_id.contains_key(id)).unwrap();
         by_id.remove(id).unwrap()
     }
 
-    /// Keeps the result that a message carries and acknowledges it; `false` if the message carries none.
+    /// Stores and acknowledges the tool result in a message. Returns whether the message had one.
     pub fn accept(&self, message: &Message, conn: &mut Conn) -> bool {
         let Some(id) = tool_result_id(message) else { return false };
         self.put(id, message.text());
@@ -70,12 +70,13 @@
     }
 }
 
-/// The id of the request whose tool result a message carries, if it carries one.
+/// The request id in the path of a message that posts a tool result; `None` for other messages.
 pub fn tool_result_id(message: &Message) -> Option<&str> {
     message.line.split(' ').nth(1)?.strip_prefix("/internal/tool-results/")
 }
 
-/// A decode worker that calls a tool after the first words of its answer, and ends with the tool's result.
+/// Starts a decode worker that calls a tool after the first chunk of its answer, and streams the tool's
+/// result as the last.
 pub fn tool_calling_worker(call: &'static str) -> Peer {
     let results = ToolResults::default();
     Peer::start(move |message, conn| {
@@ -96,7 +97,8 @@
     })
 }
 
-/// Starts a router with these workers and this tool server; `limits` are more keys of the tool server's table.
+/// Starts a router with these workers and this tool server. `limits` is appended to the configuration's
+/// `tools` table.
 pub fn start_router(
     prefill_worker: SocketAddr,
     decode_workers: &[SocketAddr],
@@ -107,8 +109,8 @@
     RouterProcess::start(&operator_file(&[prefill_worker], decode_workers, &tools))
 }
 
-/// A JSON-RPC request of this name; `extra` is more of its parameters.
-pub fn completion(name: &str, extra: &str) -> String {
+/// A JSON-RPC completion request of this name. `extra` is appended to its parameters.
+pub fn completion_request(name: &str, extra: &str) -> String {
     format!(
         r#"{{"jsonrpc":"2.0","id":1,"method":"send","params":{{"request":"{name}","deadline_ms":8000,"messages":[]{extra}}}}}"#
     )
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -1,22 +1,23 @@
-//! Tool calls relayed while an answer streams, and the rules of JSON-RPC, against scripted workers and tool servers.
+//! Tests of the JSON-RPC frontend with scripted workers and tool servers: tool calls relayed while an answer
+//! streams, conformance to the specification, batches and cancellation.
 
 mod support;
 
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Write};
-use support::tool_server::{TOOL_CALL, ToolServer, completion, start_router, tool_calling_worker};
+use support::tool_server::{TOOL_CALL, ToolServer, completion_request, start_router, tool_calling_worker};
 use support::*;
 
 #[rstest]
 #[case::result(r#""result":{"page":"text"}"#, "", "'result':{'page':'text'}", "done")]
 #[case::null_is_a_result(r#""result":null"#, "", "'result':null", "done")]
-#[case::error_of_the_tool(
+#[case::tool_error(
     r#""error":{"code":-7,"message":"no"}"#,
     "",
     "'error':{'code':-7,'message':'no'}",
     "error"
 )]
-#[case::neither(r#""other":1"#, "", "'error':{'code':-32011", "error")]
+#[case::neither_result_nor_error(r#""other":1"#, "", "'error':{'code':-32011", "error")]
 #[case::result_too_long(
     r#""result":"0123456789012345678901234567890123456789""#,
     "max_result_bytes = 64",
@@ -24,8 +25,8 @@
     "error"
 )]
 #[case::arguments_too_long(r#""result":1"#, "max_call_bytes = 20", "'error':{'code':-32013", "error")]
-#[case::too_many(r#""result":1"#, "max_calls = 0", "'error':{'code':-32015", "error")]
-fn a_tool_call_is_relayed_and_the_stream_goes_on_with_its_outcome(
+#[case::too_many_calls(r#""result":1"#, "max_calls = 0", "'error':{'code':-32015", "error")]
+fn a_tool_call_is_relayed_and_the_stream_continues_with_its_outcome(
     #[case] reply: &'static str,
     #[case] limits: &str,
     #[case] sent_to_worker: &str,
@@ -34,7 +35,7 @@
     let tools = ToolServer::start(move || reply.to_owned());
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools.address(), limits);
-    let answer = router.rpc(&completion("r1", ""));
+    let answer = router.rpc(&completion_request("r1", ""));
     assert_eq!((answer.status(), answer.whole), (200, true), "{}", answer.text());
     let lines: Vec<String> = answer.text().lines().map(str::to_owned).collect();
     assert_eq!(lines.len(), 5, "{lines:?}");
@@ -51,19 +52,23 @@
 }
 
 #[rstest]
-#[case::never_reached(false, "'code':-32010")]
-#[case::silent_after_the_call(true, "'code':-32011")]
-fn a_tool_that_does_not_answer_is_an_explicit_error(#[case] listens: bool, #[case] sent_to_worker: &str) {
+#[case::unreachable(false, "'code':-32010")]
+#[case::no_response(true, "'code':-32011")]
+fn a_tool_call_without_a_response_ends_with_an_error(#[case] listens: bool, #[case] sent_to_worker: &str) {
     let silent = Peer::start(|_, conn| !conn.is_closed());
     let tools = if listens { silent.address } else { Peer::nobody() };
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools, "call_timeout_ms = 300");
-    let answer = router.rpc(&completion("r1", "")).text();
+    let answer = router.rpc(&completion_request("r1", "")).text();
     assert!(answer.contains(sent_to_worker), "{answer}");
 }
 
 #[rstest]
-#[case::not_json("{", 400, r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"parse error"}}"#)]
+#[case::invalid_json(
+    "{",
+    400,
+    r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32700,"message":"parse error"}}"#
+)]
 #[case::not_a_request(
     "[1]",
     200,
@@ -74,29 +79,29 @@
     400,
     r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"invalid request"}}"#
 )]
-#[case::version(
+#[case::unsupported_version(
     r#"{"jsonrpc":"1.0","id":4,"method":"send"}"#,
     400,
     r#"{"jsonrpc":"2.0","id":4,"error":{"code":-32600,"message":"invalid request"}}"#
 )]
-#[case::odd_id(
+#[case::invalid_id(
     r#"{"jsonrpc":"2.0","id":{},"method":"send"}"#,
     400,
     r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600,"message":"invalid request"}}"#
 )]
-#[case::unknown(
+#[case::unknown_method(
     r#"{"jsonrpc":"2.0","id":"x","method":"nope","params":[]}"#,
     404,
     r#"{"jsonrpc":"2.0","id":"x","error":{"code":-32601,"message":"method not found"}}"#
 )]
-#[case::no_params(
+#[case::missing_params(
     r#"{"jsonrpc":"2.0","id":5,"method":"send"}"#,
     400,
     r#"{"jsonrpc":"2.0","id":5,"error":{"code":-32602,"message":"invalid params"}}"#
 )]
 #[case::notification(r#"{"jsonrpc":"2.0","method":"nope"}"#, 204, "")]
 #[case::batch_of_notifications(r#"[{"jsonrpc":"2.0","method":"nope"}]"#, 204, "")]
-#[case::cancel_unknown(
+#[case::cancel_of_an_unknown_request(
     r#"{"jsonrpc":"2.0","id":null,"method":"cancel","params":{"request":"q"}}"#,
     200,
     r#"{"jsonrpc":"2.0","id":null,"result":false}"#
@@ -115,7 +120,7 @@
     let tools = ToolServer::start(|| r#""result":1"#.into());
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools.address(), "");
-    let batch = format!("[{},{{}},{}]", completion("b1", ""), completion("b2", ""));
+    let batch = format!("[{},{{}},{}]", completion_request("b1", ""), completion_request("b2", ""));
     let answer = router.rpc(&batch).text();
     assert_eq!(answer.matches(r#""finish":"stop","calls":1,"text":"before "#).count(), 2, "{answer}");
     assert!(answer.contains(r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600"#), "{answer}");
@@ -135,15 +140,15 @@
     let prefill = Peer::prefill_worker();
     let router = start_router(prefill.address, &[decode.address], Peer::nobody(), "");
     let mut stream = router.connect();
-    stream.write_all(rpc_request(&completion("c1", "")).as_bytes()).unwrap();
+    stream.write_all(rpc_request(&completion_request("c1", "")).as_bytes()).unwrap();
     let mut client = BufReader::new(stream);
     let mut line = String::new();
     while !line.contains("delta") {
         line.clear();
         client.read_line(&mut line).unwrap();
     }
-    // The same name again, while its stream runs, is no second request.
-    assert_eq!(router.rpc(&completion("c1", "")).status(), 409);
+    // A second request of the same name is rejected while the first one streams.
+    assert_eq!(router.rpc(&completion_request("c1", "")).status(), 409);
     assert_eq!(router.rpc(r#"{"jsonrpc":"2.0","method":"cancel","params":{"request":"c1"}}"#).status(), 204);
     while !line.contains("cancelled") {
         line.clear();
@@ -153,10 +158,10 @@
     assert_eq!(closed.recv().unwrap(), "true");
 }
 
-/// Guards against work for a client that is gone: the requests of a batch went on after their client had disconnected,
-/// before their first event as well as in the middle of a stream.
+/// Guards against work for a disconnected client: the requests of a batch run in separate tasks, which must
+/// end both before their first event and in the middle of a stream.
 #[rstest]
-#[case::single_before_its_first_event(false, false)]
+#[case::single_request_before_its_first_event(false, false)]
 #[case::batch_before_its_first_event(true, false)]
 #[case::batch_in_the_middle_of_its_stream(true, true)]
 fn a_disconnected_client_s_requests_are_cancelled(#[case] is_batch: bool, #[case] streams: bool) {
@@ -166,7 +171,7 @@
     let tools = ToolServer::start(String::new);
     let router = start_router(prefill_address, &[worker.peer.address], tools.address(), "");
     let mut client = router.connect();
-    let single = completion("r-1", "");
+    let single = completion_request("r-1", "");
     let message = if is_batch { format!("[{single}]") } else { single };
     client.write_all(rpc_request(&message).as_bytes()).unwrap();
     worker.wait_for_request();
