--- a/src/frontend/chat_completions.rs
+++ b/src/frontend/chat_completions.rs
@@ -22,7 +22,7 @@
 pub const BYTES_PER_TOKEN: u64 = 4;
 
 /// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that are set for each attempt.
-const NOT_FORWARDED: [HeaderName; 12] = [
+const NON_FORWARDED_HEADERS: [HeaderName; 12] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 /// A header is missing or malformed.
-pub fn decode(headers: &HeaderMap, sent_at: Micros) -> Result<ParsedRequest, InvalidHeader> {
+pub fn decode_headers(headers: &HeaderMap, sent_at: Micros) -> Result<ParsedRequest, InvalidHeader> {
     let id = RequestHeader::RequestId.required_value(headers)?;
     if !is_plain_id(id) || headers.get_all(RequestHeader::RequestId.name()).iter().count() > 1 {
         return Err(InvalidHeader::Malformed(RequestHeader::RequestId));
@@ -203,14 +203,14 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in NOT_FORWARDED.iter().chain(&connection_options) {
+    for name in NON_FORWARDED_HEADERS.iter().chain(&connection_options) {
         headers.remove(name);
     }
     headers
 }
 
 /// Encodes the driver's response. The body of a streamed response holds the guard until the stream ends.
-pub fn encode(response: FinalResponse, disconnect_guard: DisconnectGuard) -> Response<ResponseBody> {
+pub fn encode_response(response: FinalResponse, disconnect_guard: DisconnectGuard) -> Response<ResponseBody> {
     match response {
         FinalResponse::Rejected { retry_after } => rejection(retry_after),
         FinalResponse::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
--- a/src/frontend/chat_completions/tests.rs
+++ b/src/frontend/chat_completions/tests.rs
@@ -36,19 +36,20 @@
     #[case] value: Option<&'static str>,
     #[case] expected: &str,
 ) {
-    assert_eq!(decode(&headers_with(name, value), 0).unwrap_err().to_string(), expected);
+    assert_eq!(decode_headers(&headers_with(name, value), 0).unwrap_err().to_string(), expected);
 }
 
 #[test]
 fn a_missing_prompt_length_is_estimated_from_the_body() {
-    let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70")), 0).unwrap();
+    let mut parsed = decode_headers(&headers_with("x-extras", Some("prefix_len=70")), 0).unwrap();
     parsed.estimate_missing_prompt_length(100);
     assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (25, 70));
 }
 
 #[test]
 fn a_stated_prompt_length_is_kept_and_limits_the_prefix_length() {
-    let mut parsed = decode(&headers_with("x-extras", Some("prefix_len=70, prompt_len=60")), 0).unwrap();
+    let mut parsed =
+        decode_headers(&headers_with("x-extras", Some("prefix_len=70, prompt_len=60")), 0).unwrap();
     parsed.estimate_missing_prompt_length(100);
     assert_eq!((parsed.spec.prompt_tokens, parsed.spec.prefix_tokens), (60, 60));
 }
--- a/src/frontend/error.rs
+++ b/src/frontend/error.rs
@@ -12,7 +12,8 @@
 
 /// Why a request is not submitted to the driver.
 ///
-/// The `Display` texts are for the log; response bodies have their own texts.
+/// The `Display` texts are for the log, whose lines already name the connection and the request. Response
+/// bodies have their own texts, except that clients receive the text of an [`InvalidHeader`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The end of the body is ambiguous, which allows request smuggling.
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -73,7 +73,7 @@
             RpcError::DuplicateRequest => StatusCode::CONFLICT,
             RpcError::Rejected { .. } => StatusCode::SERVICE_UNAVAILABLE,
             RpcError::Failed | RpcError::StreamBroken => StatusCode::BAD_GATEWAY,
-            // The cancellation was the client's own wish.
+            // The request ended as the client asked.
             RpcError::Cancelled => StatusCode::OK,
         }
     }
--- a/src/frontend/jsonrpc/protocol.rs
+++ b/src/frontend/jsonrpc/protocol.rs
@@ -214,7 +214,7 @@
 
 impl ToolResponse {
     /// Whether it is the response to the call with this id.
-    pub fn answers(&self, id: &str) -> bool {
+    pub fn is_response_to(&self, id: &str) -> bool {
         self.jsonrpc == VERSION && self.id == id
     }
 }
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -50,7 +50,8 @@
     outcome: watch::Receiver<Option<ToolOutcome>>,
     /// Cancels the call while it is in flight.
     cancel: watch::Sender<bool>,
-    completed: Option<Instant>,
+    completed_at: Option<Instant>,
+    /// The estimated memory use.
     bytes: usize,
 }
 
@@ -59,34 +60,34 @@
 struct Entries {
     by_key: HashMap<ToolCallKey, Entry>,
     /// The sum of `bytes` over all entries.
-    bytes: usize,
+    total_bytes: usize,
 }
 
 impl Entries {
     fn insert(&mut self, key: ToolCallKey, entry: Entry) {
-        self.bytes += entry.bytes;
+        self.total_bytes += entry.bytes;
         self.by_key.insert(key, entry);
     }
 
     fn remove(&mut self, key: &ToolCallKey) {
         if let Some(entry) = self.by_key.remove(key) {
-            self.bytes -= entry.bytes;
+            self.total_bytes -= entry.bytes;
         }
     }
 
     /// Records that a call has completed with an outcome of this size.
     fn complete(&mut self, key: &ToolCallKey, outcome_bytes: usize) {
         if let Some(entry) = self.by_key.get_mut(key) {
-            entry.completed = Some(Instant::now());
+            entry.completed_at = Some(Instant::now());
             entry.bytes += outcome_bytes;
-            self.bytes += outcome_bytes;
+            self.total_bytes += outcome_bytes;
         }
     }
 
     /// Removes the entries of calls that completed longer ago than `retention`.
     fn evict_completed(&mut self, retention: Duration) {
-        self.by_key.retain(|_, entry| entry.completed.is_none_or(|at| at.elapsed() < retention));
-        self.bytes = self.by_key.values().map(|entry| entry.bytes).sum();
+        self.by_key.retain(|_, entry| entry.completed_at.is_none_or(|at| at.elapsed() < retention));
+        self.total_bytes = self.by_key.values().map(|entry| entry.bytes).sum();
     }
 }
 
@@ -138,7 +139,7 @@
     /// Cancels the calls in flight of a request. Their outcome is then unknown.
     pub fn cancel(&self, request: &str) {
         for (key, entry) in &self.entries.borrow().by_key {
-            if &*key.request == request && entry.completed.is_none() {
+            if &*key.request == request && entry.completed_at.is_none() {
                 entry.cancel.send_replace(true);
             }
         }
@@ -193,7 +194,7 @@
     fn is_full(&self) -> bool {
         let entries = self.entries.borrow();
         entries.by_key.len() >= self.settings.max_replay_entries
-            || entries.bytes + ENTRY_OVERHEAD_BYTES > self.settings.max_replay_bytes
+            || entries.total_bytes + ENTRY_OVERHEAD_BYTES > self.settings.max_replay_bytes
     }
 
     /// Creates the entry of a call and spawns a task that executes the call.
@@ -210,7 +211,7 @@
             arguments_digest,
             outcome: outcome.clone(),
             cancel,
-            completed: None,
+            completed_at: None,
             bytes: ENTRY_OVERHEAD_BYTES,
         };
         // A repeat finds the entry from here on, before the first byte of the call is sent.
--- a/src/frontend/jsonrpc/sse.rs
+++ b/src/frontend/jsonrpc/sse.rs
@@ -2,7 +2,8 @@
 
 use bytes::BytesMut;
 
-/// The longest accepted event. During a tool call, no more of the stream is read once this much is buffered.
+/// The limit on an incomplete event. During a tool call, no more of the stream is read once this much is
+/// buffered.
 pub const MAX_EVENT_BYTES: usize = 128 * 1024;
 /// The most bytes buffered: an incomplete event and one more chunk of the stream.
 const MAX_BUFFERED_BYTES: usize = 2 * MAX_EVENT_BYTES;
@@ -13,7 +14,7 @@
     /// More bytes are pending than the buffer may hold.
     #[error("{0} bytes are pending, more than may be buffered")]
     BufferFull(usize),
-    /// An event exceeds its size limit.
+    /// An event is still incomplete at the size limit.
     #[error("an event exceeds {0} bytes")]
     EventTooLong(usize),
     /// A line is not UTF-8.
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -216,7 +216,7 @@
 fn decode_reply(id: &str, status: StatusCode, body: &[u8]) -> Result<ToolReply, ToolServerError> {
     let response: ToolResponse =
         serde_json::from_slice(body).map_err(|source| ToolServerError::InvalidResponse { status, source })?;
-    if !response.answers(id) {
+    if !response.is_response_to(id) {
         return Err(ToolServerError::MismatchedResponse);
     }
     match (response.result, response.error) {
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -118,7 +118,8 @@
     ) -> Result<Response<ResponseBody>, RequestError> {
         let driver = &self.context.driver;
         let (head, body) = request.into_parts();
-        let mut parsed = chat_completions::decode(&head.headers, driver.clock.ago(client.pipeline_wait()))?;
+        let mut parsed =
+            chat_completions::decode_headers(&head.headers, driver.clock.ago(client.pipeline_wait()))?;
         if !self.context.request_classes.contains(&parsed.spec.class) {
             return Err(RequestError::UnknownClass);
         }
@@ -131,7 +132,7 @@
         let ParsedRequest { id, spec, .. } = parsed;
         let pending = driver.submit_request(spec, forwarded_request(id, head, body, active_id, client));
         let (response, disconnect_guard) = pending.response_unless_disconnected(client.disconnected()).await;
-        Ok(chat_completions::encode(response, disconnect_guard))
+        Ok(chat_completions::encode_response(response, disconnect_guard))
     }
 }
 
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_cancelled_request_ends_with_its_worker_s_stream_and_a_response() {
+fn cancelling_a_request_closes_its_worker_s_stream_and_sends_a_response() {
     let (report_closed, closed) = shared_channel();
     let decode = Peer::start(move |message, conn| {
         if message.line.starts_with("POST") {
