--- a/src/process/router.rs
+++ b/src/process/router.rs
@@ -171,8 +171,8 @@
         let (directory, worker_kinds) = (self.directory.clone(), config.settings.worker_kinds.clone());
         ServiceContext {
             driver: self.driver.clone(),
-            classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
-            ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
+            request_classes: config.settings.classes.iter().map(|class| class.name.clone()).collect(),
+            is_ready: Box::new(move || !is_stopping.get() && directory.can_serve(&worker_kinds)),
             counters: self.counters.clone(),
             body_memory: MemoryBudget::new(
                 config.limits.memory_mb * BYTES_PER_MEGABYTE / BODY_MEMORY_DIVISOR,
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -56,8 +56,8 @@
         let counters = Rc::<Counters>::default();
         let context = ServiceContext {
             driver: handle,
-            classes: vec!["explain".into(), "send".into()],
-            ready: Box::new(|| true),
+            request_classes: vec!["explain".into(), "send".into()],
+            is_ready: Box::new(|| true),
             counters: counters.clone(),
             body_memory: MemoryBudget::new(options.body_memory),
             active_ids: Rc::default(),
