--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -55,7 +55,7 @@
         let unified_workers = eligible_workers(context, Role::Unified, request);
         let decode_workers = eligible_workers(context, Role::Decode, request);
         let decode_worker_count = decode_workers.len() + unified_workers.len();
-        // Without a decode worker, the KV cache of a prefill would only occupy memory of the prefill worker.
+        // Without a decode worker, the KV cache of a prefill would only occupy space at the prefill worker.
         if decode_worker_count == 0 {
             return None;
         }
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -86,7 +86,7 @@
     request: &'a Request,
     stage: Stage,
     distance: Distance,
-    /// Tokens that the attempt adds to the worker's queue or memory.
+    /// Tokens that the attempt adds to the worker's queue or KV cache.
     tokens: f64,
     /// Tokens to process until its response starts, including those queued before it.
     work_tokens: f64,
--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -1,5 +1,5 @@
-//! Selection of a decode worker: the one with the lowest projected memory utilization, unless a worker nearer
-//! to the KV cache is nearly as good.
+//! Selection of a decode worker: the one with the lowest projected KV cache utilization, unless a worker
+//! nearer to the request's KV cache is nearly as good.
 
 use super::context::DecisionContext;
 use super::eligibility::eligible_workers;
@@ -10,8 +10,8 @@
 use crate::interface::{RequestId, Role, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A nearer worker is preferred while its projected memory utilization exceeds that of the best candidate by
-/// no more than this: about the share that one long request uses.
+/// A nearer worker is preferred while its projected KV cache utilization exceeds that of the best candidate
+/// by no more than this: about the share that one long request uses.
 const UTILIZATION_TOLERANCE: f64 = 0.1;
 
 /// Links are considered slow if the first token takes this many times longer over a remote distance than
@@ -73,7 +73,7 @@
         Some(selected.worker.id.clone())
     }
 
-    /// Returns the candidate with the lowest projected memory utilization among those that satisfy
+    /// Returns the candidate with the lowest projected KV cache utilization among those that satisfy
     /// `is_included`.
     fn least_utilized(&self, is_included: impl Fn(&Worker) -> bool) -> Option<&DecodeCandidate<'a>> {
         let included = self.candidates.iter().filter(|c| is_included(c.worker));
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -56,10 +56,10 @@
         ReportedQueue { tokens: tokens * uncached_share.min(1.0), confidence }
     }
 
-    /// Projects the memory utilization of a worker, weighted by its slowness.
+    /// Projects the KV cache utilization of a worker, weighted by its slowness.
     ///
     /// A fresh load report determines the result. As the report ages, and without one, the estimate assumes
-    /// that each other router uses as much of the worker's memory as this one.
+    /// that each other router uses as much of the worker's KV cache as this one.
     pub fn projected_utilization(&self, worker: &'a Worker) -> f64 {
         let in_flight = || self.context.in_flight_at(worker);
         let own = in_flight().map(|attempt| attempt.tokens).sum::<f64>();
@@ -74,11 +74,11 @@
                     in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.tokens).sum();
                 // Other routers' attempts since the report are unknown, so its weight decreases with its age.
                 let confidence = decay_factor(self.context.now, received_at);
-                confidence * (utilization * worker.memory_tokens + sent_since)
+                confidence * (utilization * worker.kv_cache_tokens + sent_since)
                     + (1.0 - confidence) * extrapolated
             }
             _ => extrapolated,
         };
-        projected_tokens / worker.memory_tokens * self.context.relative_slowness(worker)
+        projected_tokens / worker.kv_cache_tokens * self.context.relative_slowness(worker)
     }
 }
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -87,8 +87,8 @@
         self.report.is_none() && self.presumed_tokens.value_at(now) < NEGLIGIBLE_TOKENS
     }
 
-    /// Returns the reported memory utilization.
-    pub fn memory_utilization(&self) -> Option<f64> {
+    /// The KV cache utilization from the latest report; `None` if it was not reported.
+    pub fn kv_cache_utilization(&self) -> Option<f64> {
         self.report.and_then(|received| received.report.kv_cache_utilization)
     }
 }
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -16,8 +16,8 @@
 /// Minimum interval between two searches for workers that have become inactive.
 const DEACTIVATION_INTERVAL: Micros = 1_000_000;
 
-/// KV cache memory of a worker in tokens, if the settings do not specify it.
-const DEFAULT_MEMORY_TOKENS: f64 = 1e6;
+/// KV cache capacity of a worker, if the settings do not specify it.
+const DEFAULT_KV_CACHE_TOKENS: f64 = 1e6;
 
 /// The workers of one role.
 #[derive(Default)]
@@ -219,8 +219,9 @@
     fn apply_endpoint(&mut self, endpoint: Endpoint, settings: &Settings, now: Micros) -> Option<WorkerId> {
         let kind = settings.worker_kinds.iter().find(|kind| kind.name == endpoint.kind);
         let role = kind.map_or(Role::Unified, |kind| kind.role);
-        let configured_memory = kind.and_then(|kind| kind.kv_cache_tokens);
-        let memory_tokens = configured_memory.map_or(DEFAULT_MEMORY_TOKENS, |tokens| tokens.max(1) as f64);
+        let configured_tokens = kind.and_then(|kind| kind.kv_cache_tokens);
+        let kv_cache_tokens =
+            configured_tokens.map_or(DEFAULT_KV_CACHE_TOKENS, |tokens| tokens.max(1) as f64);
         let is_valid_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         let weight = if is_valid_weight { endpoint.weight } else { 1.0 };
         let id = endpoint.worker;
@@ -229,7 +230,7 @@
         });
         if !is_same_process {
             let slow_start = SlowStartBucket::new(&id, endpoint.started_at, settings, now);
-            self.insert(Worker::new(id.clone(), role, memory_tokens, slow_start), settings, now);
+            self.insert(Worker::new(id.clone(), role, kv_cache_tokens, slow_start), settings, now);
         }
         let location = self.location(&id, &endpoint.zone, endpoint.cell);
         self.update_listing(&id, endpoint.status, weight, location);
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -226,13 +226,13 @@
     }
 
     /// Estimates the cached tokens that the prefill would evict: the tokens cached at the worker, weighted by
-    /// its memory utilization and by the share of its memory that the prefill needs.
+    /// its KV cache utilization and by the share of its KV cache that the prefill needs.
     fn eviction_cost(&self, candidate: &PrefillCandidate) -> f64 {
         let PrefillCandidate { worker, uncached_tokens, .. } = *candidate;
         let Some(activity) = worker.activity() else { return 0.0 };
         let cached = self.context.prefixes.total_cached_tokens(&worker.id);
-        let utilization = activity.load.memory_utilization().unwrap_or(cached / worker.memory_tokens);
-        let needed = (uncached_tokens / worker.memory_tokens).min(1.0);
+        let utilization = activity.load.kv_cache_utilization().unwrap_or(cached / worker.kv_cache_tokens);
+        let needed = (uncached_tokens / worker.kv_cache_tokens).min(1.0);
         cached * utilization.clamp(0.0, 1.0) * needed
     }
 
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -75,7 +75,7 @@
     pub sent_at: Micros,
     /// When it becomes overdue, which counts against its worker's health.
     pub overdue_at: Micros,
-    /// Tokens that it adds to the worker's queue or memory.
+    /// Tokens that it adds to the worker's queue or KV cache.
     pub tokens: f64,
     /// Tokens to process until its response starts, including those queued before it.
     pub work_tokens: f64,
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -103,8 +103,8 @@
     pub location: Location,
     /// Capacity relative to other workers, from the endpoint list.
     pub weight: f64,
-    /// KV cache memory in tokens.
-    pub memory_tokens: f64,
+    /// KV cache capacity in tokens.
+    pub kv_cache_tokens: f64,
     /// Status from the endpoint list.
     pub status: WorkerStatus,
     slowness: MovingAverage,
@@ -114,13 +114,13 @@
 
 impl Worker {
     /// Creates a worker process without measurements. It is not in service until its endpoint is applied.
-    pub fn new(id: WorkerId, role: Role, memory_tokens: f64, slow_start: SlowStartBucket) -> Self {
+    pub fn new(id: WorkerId, role: Role, kv_cache_tokens: f64, slow_start: SlowStartBucket) -> Self {
         Worker {
             id,
             role,
             location: Location::default(),
             weight: 0.0,
-            memory_tokens,
+            kv_cache_tokens,
             status: WorkerStatus::Gone,
             // The prior outweighs a single outlier.
             slowness: MovingAverage::with_prior(1.0, 1.0 / SAMPLE_WEIGHT),
