--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -11,7 +11,7 @@
 use crate::interface::{Class, Micros, Settings};
 
 /// A worker counts as slow from this multiple of the median of its role on; smaller differences are noise.
-pub(super) const SIGNIFICANT_SLOWNESS: f64 = 1.5;
+pub(super) const SLOWNESS_THRESHOLD: f64 = 1.5;
 
 /// References to all state that a decision depends on, at one moment. Decisions do not modify it.
 #[derive(Clone, Copy)]
@@ -60,11 +60,11 @@
     }
 
     /// The latency of a worker relative to the median worker of its role. It is 1 below
-    /// [`SIGNIFICANT_SLOWNESS`], and at least the inverse of the capacity fraction during slow start.
+    /// [`SLOWNESS_THRESHOLD`], and at least the inverse of the capacity fraction during slow start.
     pub fn relative_slowness(&self, worker: &Worker) -> f64 {
         let median = self.membership.median_slowness(worker.role);
         let relative = worker.slowness() / median.max(0.1);
-        let relative = if relative < SIGNIFICANT_SLOWNESS { 1.0 } else { relative };
+        let relative = if relative < SLOWNESS_THRESHOLD { 1.0 } else { relative };
         let warm_fraction = worker.activity().map_or_else(
             || SlowStartBucket::default().warm_fraction(self.settings, self.now),
             |activity| activity.slow_start.warm_fraction(self.settings, self.now),
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -4,7 +4,7 @@
 //! cached there and the worker is not overloaded. Otherwise it is sent to the worker with the lowest cost
 //! (exploration), computed from the queued tokens, the KV cache evictions and the uncached tokens.
 
-use super::context::{DecisionContext, SIGNIFICANT_SLOWNESS};
+use super::context::{DecisionContext, SLOWNESS_THRESHOLD};
 use super::load_estimator::LoadEstimator;
 use super::worker::Worker;
 use crate::hashing::unit_interval;
@@ -53,7 +53,7 @@
     fn add(&mut self, candidate: PrefillCandidate<'a>, is_home: bool) {
         self.count += 1;
         self.total_load += candidate.load;
-        let is_slow = candidate.relative_slowness >= SIGNIFICANT_SLOWNESS;
+        let is_slow = candidate.relative_slowness >= SLOWNESS_THRESHOLD;
         if is_home || is_slow || candidate.worker.activity().is_some() {
             self.distinct.push(candidate);
             return;
