--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -148,7 +148,7 @@
     /// workers take all requests within the utilization tolerance: learned latencies reveal slow links only
     /// after seconds.
     fn locality_draw(&self) -> f64 {
-        let remote_timeouts = self.context.decode_timeouts.elsewhere.value_at(self.context.now);
+        let remote_timeouts = self.context.decode_timeouts.outside_cell.value_at(self.context.now);
         if remote_timeouts >= REMOTE_TIMEOUT_THRESHOLD {
             return 0.0;
         }
@@ -171,7 +171,7 @@
         let excess_timeouts = if has_slow_links {
             0.0
         } else {
-            (timeouts.same_cell.value_at(now) - timeouts.elsewhere.value_at(now)).max(0.0)
+            (timeouts.same_cell.value_at(now) - timeouts.outside_cell.value_at(now)).max(0.0)
         };
         1.0 / (1.0 + excess_timeouts)
     }
--- a/src/policy/decode_timeouts.rs
+++ b/src/policy/decode_timeouts.rs
@@ -10,7 +10,7 @@
     /// At workers in the cell of the KV cache.
     pub same_cell: DecayingSum,
     /// At workers in other cells, or without a held KV cache.
-    pub elsewhere: DecayingSum,
+    pub outside_cell: DecayingSum,
 }
 
 impl DecodeTimeouts {
@@ -18,7 +18,7 @@
     pub fn record(&mut self, distance: Distance, now: Micros) {
         let timeouts = match distance {
             Distance::SameCell => &mut self.same_cell,
-            Distance::SameZone | Distance::Remote => &mut self.elsewhere,
+            Distance::SameZone | Distance::Remote => &mut self.outside_cell,
         };
         timeouts.add(now, 1.0);
     }
