--- a/src/policy/slow_start_bucket.rs
+++ b/src/policy/slow_start_bucket.rs
@@ -42,9 +42,9 @@
         let replicas = u64::from(settings.replica_count.max(1));
         let start = started_at.unwrap_or_default();
         let first_replica = xxh3_64_with_seed(worker.0.as_bytes(), start) % replicas;
-        let turn = (first_replica + u64::from(settings.replica_index)) % replicas;
+        let position = (first_replica + u64::from(settings.replica_index)) % replicas;
         let windows_since_start = now.saturating_sub(start) as f64 / settings.overload_window.max(1) as f64;
-        let permits = ((turn as f64 + 0.5 + windows_since_start) / replicas as f64).fract();
+        let permits = ((position as f64 + 0.5 + windows_since_start) / replicas as f64).fract();
         SlowStartBucket { started_at, listed_at: now, permits }
     }
 
