--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -55,7 +55,7 @@
             distance: estimate.distance,
             sent_at: context.now,
             overdue_at: context.now + overdue_after,
-            tokens: estimate.tokens,
+            added_tokens: estimate.added_tokens,
             work_tokens: estimate.work_tokens,
             outcome: None,
             stream_started_at: None,
@@ -87,7 +87,7 @@
     stage: Stage,
     distance: Distance,
     /// Tokens that the attempt adds to the worker's queue or KV cache.
-    tokens: f64,
+    added_tokens: f64,
     /// Tokens to process until its response starts, including those queued before it.
     work_tokens: f64,
     /// Prompt tokens that are presumed not to be cached at the worker; all of them for a decode.
@@ -109,7 +109,7 @@
         let prompt_tokens = request.spec.prompt_tokens as f64;
         let holder = request.phase().held_cache().and_then(|cache| context.membership.get(&cache.worker));
         let distance = holder.map_or(Distance::Remote, |holder| holder.distance_to(worker));
-        let (uncached_tokens, tokens, work_tokens, time_per_token) = match planned {
+        let (uncached_tokens, added_tokens, work_tokens, time_per_token) = match planned {
             PlannedStage::Prefill { uncached_tokens } => {
                 let queued_tokens = LoadEstimator::new(context).queued_tokens(worker, 0.0);
                 let in_progress_tokens = latency.uncached_tokens().value_or(prompt_tokens);
@@ -118,10 +118,10 @@
             }
             PlannedStage::Decode => {
                 let queued = context.in_flight_at(worker).filter(|a| a.stream_started_at.is_none());
-                let queued_tokens = queued.map(|attempt| attempt.tokens).sum::<f64>();
+                let queued_tokens = queued.map(|attempt| attempt.added_tokens).sum::<f64>();
                 let work_tokens = queued_tokens + prompt_tokens + latency.prompt_tokens().value_or(0.0);
-                let tokens = prompt_tokens + request.expected_output_tokens(context.class(request));
-                (prompt_tokens, tokens, work_tokens, latency.decode_time_per_token(distance))
+                let added_tokens = prompt_tokens + request.expected_output_tokens(context.class(request));
+                (prompt_tokens, added_tokens, work_tokens, latency.decode_time_per_token(distance))
             }
         };
         AttemptEstimate {
@@ -129,7 +129,7 @@
             request,
             stage: planned.stage(),
             distance,
-            tokens,
+            added_tokens,
             work_tokens,
             uncached_tokens,
             time_per_token: time_per_token.value_or(0.0),
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -84,7 +84,7 @@
         self.timeout_backoff.record_success(Stage::Prefill);
         self.latency.record_uncached_tokens(*uncached_tokens);
         self.record_success(&attempt.worker);
-        let work_tokens = attempt.work_tokens - attempt.tokens + uncached_tokens;
+        let work_tokens = attempt.work_tokens - attempt.added_tokens + uncached_tokens;
         self.record_latency(&attempt.worker, LatencyKind::Prefill, ended.elapsed, work_tokens);
     }
 
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -159,7 +159,7 @@
     fn send(&mut self, id: RequestId, worker_id: &WorkerId, stage: PlannedStage, out: &mut Vec<Action>) {
         let Some(plan) = AttemptPlan::new(self.context(), id, worker_id, stage) else { return };
         let AttemptPlan { attempt, timeout, deduplication_deadline } = plan;
-        let (stage, tokens) = (attempt.stage, attempt.tokens);
+        let (stage, added_tokens) = (attempt.stage, attempt.added_tokens);
         if let (Some(request), Some(worker)) =
             (self.requests.get_mut(id), self.membership.activity_mut(worker_id))
         {
@@ -171,7 +171,7 @@
             worker.slow_start.take_permit();
         }
         if stage == Stage::Prefill {
-            self.gossip_queue_change(worker_id, tokens, out);
+            self.gossip_queue_change(worker_id, added_tokens, out);
         }
         out.push(Action::Send {
             request: id,
@@ -208,7 +208,7 @@
         let traffic = request.traffic_key();
         self.record_load_report(&attempt.worker, end.report);
         if attempt.stage == Stage::Prefill {
-            self.gossip_queue_change(&attempt.worker, -attempt.tokens, out);
+            self.gossip_queue_change(&attempt.worker, -attempt.added_tokens, out);
             // It may have completed just as it timed out or lost its connection, and left a KV cache.
             if !outcome.had_no_effect() {
                 out.push(Action::ReleaseCache { request: id });
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -36,7 +36,7 @@
         let now = self.context.now;
         let own: f64 = (self.context.in_flight_at(worker))
             .filter(|attempt| attempt.stage == Stage::Prefill)
-            .map(|attempt| attempt.tokens)
+            .map(|attempt| attempt.added_tokens)
             .sum();
         let ReportedQueue { tokens, confidence } = self.reported_queue(worker);
         let presumed = worker.activity().map_or(0.0, |activity| activity.load.presumed_tokens(now));
@@ -62,7 +62,7 @@
     /// that each other router uses as much of the worker's KV cache as this one.
     pub fn projected_utilization(&self, worker: &'a Worker) -> f64 {
         let in_flight = || self.context.in_flight_at(worker);
-        let own = in_flight().map(|attempt| attempt.tokens).sum::<f64>();
+        let own = in_flight().map(|attempt| attempt.added_tokens).sum::<f64>();
         let extrapolated = own * f64::from(self.context.settings.replica_count);
         let report = worker.activity().and_then(|activity| activity.load.latest_report());
         let projected_tokens = match report {
@@ -71,7 +71,7 @@
                 report: LoadReport { kv_cache_utilization: Some(utilization), .. },
             }) => {
                 let sent_since: f64 =
-                    in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.tokens).sum();
+                    in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.added_tokens).sum();
                 // Other routers' attempts since the report are unknown, so its weight decreases with its age.
                 let confidence = decay_factor(self.context.now, received_at);
                 confidence * (utilization * worker.kv_cache_tokens + sent_since)
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -76,7 +76,7 @@
     /// When it becomes overdue, which counts against its worker's health.
     pub overdue_at: Micros,
     /// Tokens that it adds to the worker's queue or KV cache.
-    pub tokens: f64,
+    pub added_tokens: f64,
     /// Tokens to process until its response starts, including those queued before it.
     pub work_tokens: f64,
     /// Its outcome; `None` while it is in flight.
