--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -8,7 +8,7 @@
 use super::attempt_plan::AttemptPlan;
 use super::decode_choice::DecodeChooser;
 use super::feedback::EndedAttempt;
-use super::load_view::ReportNeed;
+use super::load_view::HealthCheckNeed;
 use super::local_reply::{end_reason, local_reply};
 use super::request::{HeldCache, Request, RequestPhase};
 use super::sweep::sweep_margin;
@@ -36,13 +36,13 @@
     }
 }
 
-/// Whether a prefill has to wait for a load report of its worker.
+/// Whether a prefill may be sent, or has to wait for a load report of its worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LoadReportStatus {
-    /// The load is known, or no report can be requested.
-    NotNeeded,
+enum PrefillReadiness {
+    /// The load is known, no report can be requested, or one is overdue.
+    Ready,
     /// A report was requested and has not arrived yet.
-    Pending,
+    AwaitsReport,
 }
 
 impl Policy {
@@ -97,7 +97,7 @@
         let Some(request) = self.requests.get(id) else { return };
         let Some(route) = Route::choose(self.context(), request) else { return };
         let is_prefill = matches!(route.stage, PlannedStage::Prefill { .. });
-        if is_prefill && self.request_load_report(&route.worker, id, out) == LoadReportStatus::Pending {
+        if is_prefill && self.request_load_report(&route.worker, id, out) == PrefillReadiness::AwaitsReport {
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
@@ -133,26 +133,26 @@
         worker_id: &WorkerId,
         id: RequestId,
         out: &mut Vec<Action>,
-    ) -> LoadReportStatus {
+    ) -> PrefillReadiness {
         let health_checks_report_load =
             self.settings.health_checks_allowed && self.settings.load_reporting != LoadReporting::None;
         let Some(worker) = self.membership.activity_mut(worker_id).filter(|_| health_checks_report_load)
         else {
-            return LoadReportStatus::NotNeeded;
+            return PrefillReadiness::Ready;
         };
         let fresh_since = self.now.saturating_sub(self.settings.connect_timeout);
-        match worker.load.report_need(self.now, fresh_since) {
-            ReportNeed::Satisfied => return LoadReportStatus::NotNeeded,
-            ReportNeed::Pending => return LoadReportStatus::Pending,
-            ReportNeed::Missing => {}
+        match worker.load.health_check_need(self.now, fresh_since) {
+            HealthCheckNeed::NotNeeded => return PrefillReadiness::Ready,
+            HealthCheckNeed::InProgress => return PrefillReadiness::AwaitsReport,
+            HealthCheckNeed::Required => {}
         }
         let request = self.requests.get_mut(id);
         if request.is_none_or(|request| request.take_health_check().is_none()) {
-            return LoadReportStatus::NotNeeded;
+            return PrefillReadiness::Ready;
         }
         worker.load.health_check_sent(self.now);
         out.push(Action::CheckHealth { worker: worker_id.clone() });
-        LoadReportStatus::Pending
+        PrefillReadiness::AwaitsReport
     }
 
     /// Sends an attempt to a worker if [`AttemptPlan`] allows it. All attempts are sent here.
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -15,15 +15,15 @@
     pub report: LoadReport,
 }
 
-/// Whether a load report must be requested by a health check before a prefill is sent to a worker.
+/// Whether a health check has to fetch a load report before a prefill is sent to a worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum ReportNeed {
-    /// A fresh report is available, or a health check is overdue. The prefill may be sent.
-    Satisfied,
-    /// A health check is in progress. The prefill has to wait for its report.
-    Pending,
-    /// No fresh report is available. A health check has to be sent.
-    Missing,
+pub(super) enum HealthCheckNeed {
+    /// A fresh report is available, or the latest health check is overdue. The prefill does not wait.
+    NotNeeded,
+    /// A health check is in progress. The prefill waits for its report.
+    InProgress,
+    /// There is neither a fresh report nor a recent health check, so a health check has to be sent.
+    Required,
 }
 
 /// Load of one worker, as observed by this router.
@@ -52,18 +52,21 @@
         self.presumed_tokens.add(now, tokens);
     }
 
-    /// Returns whether a report received at `fresh_since` or later is available, pending or missing.
-    pub fn report_need(&self, now: Micros, fresh_since: Micros) -> ReportNeed {
+    /// Whether a health check has to be sent, is in progress, or is not needed.
+    ///
+    /// A report is fresh if it was received at `fresh_since` or later. A health check without a report is
+    /// overdue if it was sent before `fresh_since`, and is repeated after [`LOAD_HALF_LIFE`].
+    pub fn health_check_need(&self, now: Micros, fresh_since: Micros) -> HealthCheckNeed {
         let received_at = self.report.map(|received| received.received_at);
         if received_at.is_some_and(|at| at >= fresh_since) {
-            return ReportNeed::Satisfied;
+            return HealthCheckNeed::NotNeeded;
         }
-        let unanswered = (self.health_check_sent_at)
+        let pending_since = (self.health_check_sent_at)
             .filter(|sent_at| Some(*sent_at) > received_at && sent_at + LOAD_HALF_LIFE >= now);
-        match unanswered {
-            Some(sent_at) if sent_at >= fresh_since => ReportNeed::Pending,
-            Some(_) => ReportNeed::Satisfied,
-            None => ReportNeed::Missing,
+        match pending_since {
+            Some(sent_at) if sent_at >= fresh_since => HealthCheckNeed::InProgress,
+            Some(_) => HealthCheckNeed::NotNeeded,
+            None => HealthCheckNeed::Required,
         }
     }
 
