--- a/tests/policy_slow_start.rs
+++ b/tests/policy_slow_start.rs
@@ -1,11 +1,10 @@
 //! Slow start: the rate of attempts that the policy sends to recently started workers.
 
-#[path = "support/rig.rs"]
-mod rig;
+#[path = "support/policy_harness.rs"]
+mod policy_harness;
 
-use llm_router::Policy;
 use llm_router::interface::*;
-use rig::*;
+use policy_harness::*;
 use rstest::rstest;
 use std::sync::Arc;
 
@@ -13,15 +12,15 @@
 fn a_starting_worker_gets_few_attempts_while_its_peers_reject_all() {
     // The budget was derived from the attempts sent to warm workers rather than from their completions, which
     // made it too large in a retry storm.
-    let mut rig = Rig::fleet(settings());
-    let started = rig.now;
-    rig.update_endpoints(UpdateKind::Delta, vec![endpoint("r1", 0, WorkerStatus::Ready, Some(started))]);
+    let mut harness = PolicyHarness::fleet(settings());
+    let started = harness.now;
+    harness.update_endpoints(UpdateKind::Delta, vec![endpoint("r1", 0, WorkerStatus::Ready, Some(started))]);
     for id in 1..200 {
-        rig.request(id, "idempotent");
-        rig.end_attempt(id, 0, Outcome::Rejected);
-        rig.now += 5 * MS;
+        harness.request(id, "idempotent");
+        harness.end_attempt(id, 0, Outcome::Rejected);
+        harness.now += 5 * MS;
     }
-    let starting = send_targets(&rig.actions).iter().filter(|w| **w == "r1").count();
+    let starting = send_targets(&harness.actions).iter().filter(|w| **w == "r1").count();
     assert!(starting <= 1, "{starting} attempts within a second at a starting worker");
 }
 
@@ -29,19 +28,19 @@
 fn a_fleet_that_restarted_completely_is_sent_the_rate_of_the_tenant_quotas() {
     // Without warm workers from which to measure the capacity, almost no requests were sent to any worker.
     let tenants = vec![Tenant { name: "t".into(), quota_per_s: 40.0 }];
-    let mut rig = Rig::new(Settings { tenants, ..settings() });
+    let mut harness = PolicyHarness::new(Settings { tenants, ..settings() });
     let starting = |now, w: &str, cell| endpoint(w, cell, WorkerStatus::Ready, Some(now));
-    let list = ["r1", "r2", "w1", "w2"].map(|w| starting(rig.now, w, 0)).to_vec();
-    rig.update_endpoints(UpdateKind::Snapshot, list);
+    let list = ["r1", "r2", "w1", "w2"].map(|w| starting(harness.now, w, 0)).to_vec();
+    harness.update_endpoints(UpdateKind::Snapshot, list);
     for id in 1..100 {
-        rig.request(id, "idempotent");
-        rig.end_attempt(id, 0, Outcome::PrefillCompleted);
-        rig.end_attempt(id, 1, Outcome::Completed);
-        rig.now += 10 * MS;
+        harness.request(id, "idempotent");
+        harness.end_attempt(id, 0, Outcome::PrefillCompleted);
+        harness.end_attempt(id, 1, Outcome::Completed);
+        harness.now += 10 * MS;
     }
     // Share of this router: 2.5 x 0.33 x 40 per second / 2 routers / 2 workers = 8.25 per prefill worker and
     // second.
-    let prefills = send_targets(&rig.actions).iter().filter(|w| w.starts_with('r')).count();
+    let prefills = send_targets(&harness.actions).iter().filter(|w| w.starts_with('r')).count();
     assert!((8..=16).contains(&prefills), "{prefills} prefills in the first second");
 }
 
@@ -51,13 +50,14 @@
     let mut sent_counts = Vec::new();
     for seed in 0..20 {
         let settings = Settings { replica_count: 100, replica_index: 5 * seed as u32, ..settings() };
-        let mut rig = Rig { policy: Policy::new(settings.clone(), seed), ..Rig::new(settings) };
-        let warm =
-            [endpoint("w1", 0, WorkerStatus::Ready, None), endpoint("w2", 0, WorkerStatus::Ready, None)];
-        rig.update_endpoints(UpdateKind::Restored, warm.to_vec());
-        rig.update_endpoints(UpdateKind::Delta, vec![endpoint("r1", 0, WorkerStatus::Ready, Some(rig.now))]);
-        rig.receive(RequestSpec { deadline: rig.now + 20 * SECOND, ..request_spec(rig.now, "idempotent") });
-        let sent = rig.actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        let mut harness = PolicyHarness::with_seed(settings, seed);
+        let warm = ["w1", "w2"].map(|w| endpoint(w, 0, WorkerStatus::Ready, None));
+        harness.update_endpoints(UpdateKind::Restored, warm.to_vec());
+        let starting = vec![endpoint("r1", 0, WorkerStatus::Ready, Some(harness.now))];
+        harness.update_endpoints(UpdateKind::Delta, starting);
+        let deadline = harness.now + 20 * SECOND;
+        harness.receive(RequestSpec { deadline, ..request_spec(harness.now, "idempotent") });
+        let sent = harness.actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
         sent_counts.push(sent);
     }
     let total: usize = sent_counts.iter().sum();
@@ -67,11 +67,11 @@
 /// Finds the name of a shared prefix whose home is not `worker`.
 fn prefix_with_another_home(fleet: &[Endpoint], worker: &str) -> String {
     let has_another_home = |name: &String| {
-        let mut rig = Rig::new(settings());
-        rig.update_endpoints(UpdateKind::Restored, fleet.to_vec());
+        let mut harness = PolicyHarness::new(settings());
+        harness.update_endpoints(UpdateKind::Restored, fleet.to_vec());
         let prefix = Some(name.as_str().into());
-        let spec = RequestSpec { prefix, prefix_tokens: 1_990, ..request_spec(rig.now, "idempotent") };
-        send_targets(&rig.receive(spec)) != [worker]
+        let spec = RequestSpec { prefix, prefix_tokens: 1_990, ..request_spec(harness.now, "idempotent") };
+        send_targets(&harness.receive(spec)) != [worker]
     };
     (0..).map(|i| format!("p{i}")).find(has_another_home).unwrap()
 }
@@ -87,34 +87,35 @@
     let (mut sent_in_burst, mut sent_before) = (0, 0);
     for index in 0..ROUTERS {
         let settings = Settings { replica_count: ROUTERS, replica_index: index, ..settings() };
-        let mut rig = Rig { policy: Policy::new(settings.clone(), u64::from(index)), ..Rig::new(settings) };
-        rig.update_endpoints(UpdateKind::Restored, fleet[1..].to_vec());
+        let mut harness = PolicyHarness::with_seed(settings, u64::from(index));
+        harness.update_endpoints(UpdateKind::Restored, fleet[1..].to_vec());
         // Three requests per second at each warm worker, from all routers together.
         for id in 0..18 {
-            rig.now = 100 * SECOND + id * SECOND + SECOND * u64::from(index) / u64::from(ROUTERS);
+            harness.now = 100 * SECOND + id * SECOND + SECOND * u64::from(index) / u64::from(ROUTERS);
             if id == 10 {
-                rig.update_endpoints(
+                harness.update_endpoints(
                     UpdateKind::Delta,
                     vec![endpoint("r3", 0, WorkerStatus::Ready, Some(110 * SECOND))],
                 );
             }
             if (id + u64::from(index)).is_multiple_of(5) {
                 let (request, prefix) = (RequestId(id), Some(prefix_name.as_str().into()));
-                let sent = rig.receive(RequestSpec {
+                let sent = harness.receive(RequestSpec {
                     request,
                     prefix,
                     prefix_tokens: 1_990,
-                    ..request_spec(rig.now, "idempotent")
+                    ..request_spec(harness.now, "idempotent")
                 });
                 sent_before += usize::from(send_targets(&sent) == ["r3"]);
-                rig.end_attempt(id, 0, Outcome::PrefillCompleted);
-                rig.end_attempt(id, 1, Outcome::Completed);
+                harness.end_attempt(id, 0, Outcome::PrefillCompleted);
+                harness.end_attempt(id, 1, Outcome::Completed);
             }
         }
-        rig.now = 118 * SECOND;
+        harness.now = 118 * SECOND;
         for id in 20..25 {
-            rig.now += 20 * MS;
-            sent_in_burst += usize::from(send_targets(&rig.request(id, "idempotent")).first() == Some(&"r3"));
+            harness.now += 20 * MS;
+            let sent = harness.request(id, "idempotent");
+            sent_in_burst += usize::from(send_targets(&sent).first() == Some(&"r3"));
         }
     }
     let settings = settings();
@@ -136,27 +137,27 @@
 fn a_restarted_router_does_not_obtain_a_second_permit() {
     let start_router = |now: Micros, seed: u64, worker_start: Micros| {
         let settings = Settings { replica_count: 8, replica_index: 3, ..settings() };
-        let mut rig = Rig { policy: Policy::new(settings.clone(), seed), now, ..Rig::new(settings) };
+        let mut harness = PolicyHarness { now, ..PolicyHarness::with_seed(settings, seed) };
         let endpoints = [("r1", Some(worker_start)), ("w1", None)]
             .map(|(w, start)| endpoint(w, 0, WorkerStatus::Ready, start));
-        rig.update_endpoints(UpdateKind::Restored, endpoints.to_vec());
-        rig
+        harness.update_endpoints(UpdateKind::Restored, endpoints.to_vec());
+        harness
     };
-    let sends_within = |rig: &mut Rig, time: Micros| {
-        let until = rig.now + time;
-        while rig.now < until {
-            rig.now += 50 * MS;
-            if !send_targets(&rig.request(rig.now, "idempotent")).is_empty() {
+    let sends_within = |harness: &mut PolicyHarness, time: Micros| {
+        let until = harness.now + time;
+        while harness.now < until {
+            harness.now += 50 * MS;
+            if !send_targets(&harness.request(harness.now, "idempotent")).is_empty() {
                 return true;
             }
         }
         false
     };
     let worker_start = 100 * SECOND;
-    let mut rig = start_router(worker_start, 0, worker_start);
-    assert!(sends_within(&mut rig, 9 * SECOND), "the router obtained no permit");
+    let mut harness = start_router(worker_start, 0, worker_start);
+    assert!(sends_within(&mut harness, 9 * SECOND), "the router obtained no permit");
     for seed in 1..20 {
-        let mut restarted = start_router(rig.now + 50 * MS, seed, worker_start);
+        let mut restarted = start_router(harness.now + 50 * MS, seed, worker_start);
         assert!(!sends_within(&mut restarted, 4 * SECOND), "another attempt was sent after the restart");
     }
 }
@@ -172,38 +173,38 @@
     let mut sent_per_second = [0; 9];
     for seed in 0..ROUTERS {
         let settings = Settings { replica_index: seed as u32, ..settings.clone() };
-        let mut rig = Rig { policy: Policy::new(settings.clone(), seed), ..Rig::new(settings) };
+        let mut harness = PolicyHarness::with_seed(settings, seed);
         let name = |i: u64| format!("r{i}");
         let mut list: Vec<Endpoint> =
             (1..=WARM_WORKERS).map(|i| endpoint(&name(i), 0, WorkerStatus::Ready, None)).collect();
         list.push(endpoint("w1", 0, WorkerStatus::Ready, None));
-        rig.update_endpoints(UpdateKind::Restored, list);
-        let started = rig.now + 5 * SECOND;
+        harness.update_endpoints(UpdateKind::Restored, list);
+        let started = harness.now + 5 * SECOND;
         // Two requests per second at each router. Four out of five have one of ten shared prefixes.
         for i in 0..28 {
-            rig.now = 100 * SECOND + (i * 500 + seed * 5) * MS;
+            harness.now = 100 * SECOND + (i * 500 + seed * 5) * MS;
             if i == 10 {
                 let starting = vec![endpoint("r0", 0, WorkerStatus::Ready, Some(started))];
-                rig.update_endpoints(UpdateKind::Delta, starting);
+                harness.update_endpoints(UpdateKind::Delta, starting);
             }
             let is_shared = !(i + seed).is_multiple_of(5);
             let (prefix, prefix_tokens) =
                 if is_shared { (Some(format!("p{}", (i * 7 + seed) % 10).into()), 1_800) } else { (None, 0) };
             let (request, session) = (RequestId(i), Some(format!("s{seed}-{i}").into()));
-            let sent = rig.receive(RequestSpec {
+            let sent = harness.receive(RequestSpec {
                 request,
                 session,
                 prefix,
                 prefix_tokens,
-                ..request_spec(rig.now, "idempotent")
+                ..request_spec(harness.now, "idempotent")
             });
             let is_to_starting = |a: &Action| matches!(a, Action::Send { worker, .. } if *worker.0 == *"r0");
             if sent.iter().any(is_to_starting) {
                 sent_per_second[(i / 2 - 5) as usize] += 1;
             }
-            rig.now += 5 * MS;
-            rig.end_attempt(i, 0, Outcome::PrefillCompleted);
-            rig.end_attempt(i, 1, Outcome::Completed);
+            harness.now += 5 * MS;
+            harness.end_attempt(i, 0, Outcome::PrefillCompleted);
+            harness.end_attempt(i, 1, Outcome::Completed);
         }
     }
     // The completions observed at a warm worker are a lower bound of its capacity.
@@ -224,34 +225,35 @@
 #[test]
 fn a_starting_worker_is_not_preferred_for_prompts_that_it_cannot_prefill_in_time() {
     for (prompt_tokens, prefill_worker) in [(2_000, "r3"), (40_000, "r1")] {
-        let mut rig = Rig::fleet(Settings { event_interval: MS, ..settings() });
+        let mut harness = PolicyHarness::fleet(Settings { event_interval: MS, ..settings() });
         for id in 1..10 {
-            rig.request(id, "idempotent");
-            rig.end_attempt(id, 0, Outcome::PrefillCompleted);
-            rig.end_attempt(id, 1, Outcome::Completed);
+            harness.request(id, "idempotent");
+            harness.end_attempt(id, 0, Outcome::PrefillCompleted);
+            harness.end_attempt(id, 1, Outcome::Completed);
         }
         let gone = ["r2"].map(|r| endpoint(r, 1, WorkerStatus::Gone, None)).to_vec();
-        rig.update_endpoints(UpdateKind::Delta, gone);
-        rig.update_endpoints(UpdateKind::Delta, vec![endpoint("r3", 1, WorkerStatus::Ready, Some(rig.now))]);
+        harness.update_endpoints(UpdateKind::Delta, gone);
+        let starting = vec![endpoint("r3", 1, WorkerStatus::Ready, Some(harness.now))];
+        harness.update_endpoints(UpdateKind::Delta, starting);
         for id in 20..40 {
-            rig.now += 100 * MS;
+            harness.now += 100 * MS;
             let prefix = Some("p".into());
-            rig.receive(RequestSpec {
+            harness.receive(RequestSpec {
                 request: RequestId(id),
                 prefix,
                 prefix_tokens: 1_900,
-                ..request_spec(rig.now, "idempotent")
+                ..request_spec(harness.now, "idempotent")
             });
-            rig.end_attempt(id, 0, Outcome::PrefillCompleted);
-            rig.end_attempt(id, 1, Outcome::Completed);
+            harness.end_attempt(id, 0, Outcome::PrefillCompleted);
+            harness.end_attempt(id, 1, Outcome::Completed);
         }
         // The home of this session is r1.
         let session = Some("x".into());
-        let sent = rig.receive(RequestSpec {
+        let sent = harness.receive(RequestSpec {
             request: RequestId(50),
             session,
             prompt_tokens,
-            ..request_spec(rig.now, "idempotent")
+            ..request_spec(harness.now, "idempotent")
         });
         assert_eq!(send_targets(&sent), [prefill_worker], "{prompt_tokens} tokens");
     }
@@ -264,16 +266,19 @@
     let mut prefill_workers = Vec::new();
     for seed in 0..8 {
         let settings = Settings { replica_count: 100, replica_index: 5 * seed as u32, ..settings() };
-        let mut rig = Rig { policy: Policy::new(settings.clone(), seed), ..Rig::new(settings) };
+        let mut harness = PolicyHarness::with_seed(settings, seed);
         let list = [("r1", 0), ("r2", 1), ("r3", 1), ("w1", 0)];
-        rig.update_endpoints(
+        harness.update_endpoints(
             UpdateKind::Restored,
             list.iter().map(|(w, c)| endpoint(w, *c, WorkerStatus::Ready, None)).collect(),
         );
         let session = Some(Arc::from("s"));
         let prompt_tokens = 2_000 + seed * 500;
-        let received =
-            rig.receive(RequestSpec { session, prompt_tokens, ..request_spec(rig.now, "idempotent") });
+        let received = harness.receive(RequestSpec {
+            session,
+            prompt_tokens,
+            ..request_spec(harness.now, "idempotent")
+        });
         prefill_workers.push(send_targets(&received)[0].to_owned());
     }
     assert!(prefill_workers.iter().all(|r| *r == prefill_workers[0]), "{prefill_workers:?}");
@@ -292,7 +297,8 @@
 }
 
 impl PrefillWorkers {
-    fn answer(&mut self, now: Micros, prefill_worker: &str) -> Outcome {
+    /// Runs or rejects a prefill at a worker that received it at `now`.
+    fn run_prefill(&mut self, now: Micros, prefill_worker: &str) -> Outcome {
         let warm_index = match prefill_worker {
             "r1" => 0,
             "r2" => 1,
@@ -311,16 +317,16 @@
 }
 
 /// Runs all attempts of a request.
-fn run_request(rig: &mut Rig, id: u64, prefill_workers: &mut PrefillWorkers) {
-    let mut actions = rig.request(id, "idempotent");
+fn run_request(harness: &mut PolicyHarness, id: u64, prefill_workers: &mut PrefillWorkers) {
+    let mut actions = harness.request(id, "idempotent");
     for attempt in 0..6 {
         let Some(worker) = send_targets(&actions).first().map(|w| (*w).to_owned()) else { return };
         let outcome = if worker.starts_with('r') {
-            prefill_workers.answer(rig.now, &worker)
+            prefill_workers.run_prefill(harness.now, &worker)
         } else {
             Outcome::Completed
         };
-        actions = rig.end_attempt(id, attempt, outcome);
+        actions = harness.end_attempt(id, attempt, outcome);
     }
 }
 
@@ -338,14 +344,13 @@
     const BURST_FACTOR: u64 = 8;
     let settings = Settings { replica_count: routers, ..settings() };
     let start = 100 * SECOND;
-    let mut fleet: Vec<Rig> = (0..routers)
+    let mut fleet: Vec<PolicyHarness> = (0..routers)
         .map(|index| {
             let settings = Settings { replica_index: index, ..settings.clone() };
-            let mut rig =
-                Rig { policy: Policy::new(settings.clone(), u64::from(index)), ..Rig::new(settings) };
+            let mut harness = PolicyHarness::with_seed(settings, u64::from(index));
             let warm = ["r1", "r2", "w1", "w2"].map(|w| endpoint(w, 0, WorkerStatus::Ready, None));
-            rig.update_endpoints(UpdateKind::Restored, warm.to_vec());
-            rig
+            harness.update_endpoints(UpdateKind::Restored, warm.to_vec());
+            harness
         })
         .collect();
     let (regular_rate, mut now, mut id, mut is_listed) = (WARM_WORKERS * warm_rate, start, 0, false);
@@ -358,9 +363,9 @@
         now += SECOND / (regular_rate * if is_burst { BURST_FACTOR } else { 1 });
         if now >= started && !is_listed {
             is_listed = true;
-            for rig in &mut fleet {
-                rig.now = now;
-                rig.update_endpoints(
+            for harness in &mut fleet {
+                harness.now = now;
+                harness.update_endpoints(
                     UpdateKind::Delta,
                     vec![endpoint("r3", 0, WorkerStatus::Ready, Some(started))],
                 );
@@ -369,9 +374,9 @@
         id += 1;
         // The distribution is uneven: a third of the requests arrive at one router.
         let router = if id % 3 == 0 { 0 } else { id * 7 % u64::from(routers) };
-        let rig = &mut fleet[router as usize];
-        rig.now = now;
-        run_request(rig, id, &mut prefill_workers);
+        let harness = &mut fleet[router as usize];
+        harness.now = now;
+        run_request(harness, id, &mut prefill_workers);
     }
     let attempts = prefill_workers.starting_attempts;
     for (i, window_start) in attempts.iter().enumerate() {
--- a/tests/support/rig.rs
+++ b/tests/support/policy_harness.rs
@@ -1,7 +1,7 @@
-//! A policy under test: its fleet, its clock, and all actions that it has taken.
+//! A harness for tests of the policy: a policy, its clock, and all actions that it has taken.
 //!
-//! Names of workers begin with their kind: r for prefill, w for decode and m for unified workers. Placement hashes the
-//! names, so tests depend on them.
+//! The name of a worker begins with the letter of its kind: r for prefill, w for decode and m for unified
+//! workers. The policy hashes the names when it places requests, so the results of tests depend on them.
 #![allow(dead_code)]
 
 use llm_router::Policy;
@@ -54,33 +54,39 @@
     }
 }
 
-/// A policy under test, with its clock and all actions that it has taken.
-pub struct Rig {
+/// A policy under test, with its clock and the actions that it has taken.
+pub struct PolicyHarness {
     pub policy: Policy,
     pub now: Micros,
     pub actions: Vec<Action>,
+    /// When the timers that the policy has set are due.
     pub timers: Vec<Micros>,
 }
 
-impl Rig {
-    /// A policy that knows no workers.
+impl PolicyHarness {
+    /// A policy without workers, with an arbitrary seed.
     pub fn new(settings: Settings) -> Self {
-        let policy = Policy::new(settings, 7);
-        Rig { policy, now: 100 * SECOND, actions: Vec::new(), timers: Vec::new() }
+        Self::with_seed(settings, 7)
     }
 
-    /// Two prefill and three decode workers in two cells of one zone.
+    /// A policy without workers. Each router of a deployment has a seed of its own.
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
+        let policy = Policy::new(settings, seed);
+        PolicyHarness { policy, now: 100 * SECOND, actions: Vec::new(), timers: Vec::new() }
+    }
+
+    /// A policy with two prefill and three decode workers, in two cells of one zone.
     pub fn fleet(settings: Settings) -> Self {
-        let mut rig = Rig::new(settings);
+        let mut harness = PolicyHarness::new(settings);
         let list = [("r1", 0), ("r2", 1), ("w1", 0), ("w2", 1), ("w3", 1)];
-        rig.update_endpoints(
+        harness.update_endpoints(
             UpdateKind::Restored,
             list.iter().map(|(w, cell)| endpoint(w, *cell, WorkerStatus::Ready, None)).collect(),
         );
-        rig
+        harness
     }
 
-    /// Hands the policy an event and returns its actions.
+    /// Passes an event to the policy and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
@@ -92,17 +98,17 @@
         out
     }
 
-    /// An update of the endpoint list.
+    /// Passes an update of the endpoint list to the policy.
     pub fn update_endpoints(&mut self, kind: UpdateKind, entries: Vec<Endpoint>) -> Vec<Action> {
         self.handle(Event::EndpointsUpdated { kind, endpoints: entries })
     }
 
-    /// A request of a class, with otherwise ordinary values.
+    /// Passes an ordinary request of this class to the policy; see [`request_spec`].
     pub fn request(&mut self, id: u64, class: &str) -> Vec<Action> {
         self.receive(RequestSpec { request: RequestId(id), ..request_spec(self.now, class) })
     }
 
-    /// A request.
+    /// Passes a request to the policy.
     pub fn receive(&mut self, spec: RequestSpec) -> Vec<Action> {
         self.handle(Event::RequestReceived(spec))
     }
@@ -112,7 +118,7 @@
         self.end_attempt_after(id, attempt, outcome, 50 * MS)
     }
 
-    /// Ends an attempt that took `elapsed`; a completed one finishes its request.
+    /// Ends an attempt that took `elapsed`. A completed attempt finishes its request.
     pub fn end_attempt_after(
         &mut self,
         id: u64,
@@ -131,7 +137,7 @@
         }))
     }
 
-    /// Lets time pass and hands timers back when they are due.
+    /// Advances the clock, and passes the timers that become due to the policy.
     pub fn pass_time(&mut self, time: Micros) -> Vec<Action> {
         let (until, mut out) = (self.now + time, Vec::new());
         loop {
@@ -147,7 +153,7 @@
     }
 }
 
-/// An ordinary request of a class.
+/// An ordinary request: 2,000 prompt tokens, a deadline after 4 seconds, and no session, prefix or tenant.
 pub fn request_spec(now: Micros, class: &str) -> RequestSpec {
     RequestSpec {
         request: RequestId(0),
@@ -170,7 +176,7 @@
     Endpoint { worker, zone: "z".into(), kind, cell, status, weight: 1.0, started_at: started }
 }
 
-/// The workers of all attempts among the actions.
+/// The workers to which the actions send attempts.
 pub fn send_targets(actions: &[Action]) -> Vec<&str> {
     let to = |a: &'_ Action| if let Action::Send { worker, .. } = a { Some(worker.0.clone()) } else { None };
     let names: Vec<Arc<str>> = actions.iter().filter_map(to).collect();
@@ -185,8 +191,8 @@
         .collect()
 }
 
-/// How many requests were rejected or failed.
-pub fn final_answer_count(actions: &[Action]) -> usize {
+/// How many local replies, that is rejections and failures, there are among the actions.
+pub fn local_reply_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
 
@@ -195,7 +201,7 @@
     actions.iter().filter(|a| matches!(a, Action::ReleaseCache { .. })).count()
 }
 
-/// Whether a request has a failure as its final answer.
+/// Whether the actions fail a request.
 pub fn has_failed(actions: &[Action], request: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { request: failed, .. } if failed.0 == request))
 }
