--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -60,8 +60,8 @@
         raw.validate(|_| None)
     }
 
-    /// The changed fields of another configuration that a reload can't apply: they take effect at a restart
-    /// only.
+    /// The fields that differ in another configuration and that a reload does not apply: they take effect at
+    /// a restart only.
     pub fn changes_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let settings_differ =
             self.settings != other.settings || self.idle_connection_timeout != other.idle_connection_timeout;
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -58,7 +58,7 @@
     pub active_requests: Option<f64>,
     /// Requests in its queue.
     pub queued_requests: Option<f64>,
-    /// Fraction of its KV cache memory in use.
+    /// Fraction of its KV cache in use.
     pub kv_cache_utilization: Option<f64>,
     /// Prompt tokens in its queue, to be processed or fetched.
     pub queued_tokens: Option<f64>,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -28,7 +28,8 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A decode worker answered a reservation. Ignored by the current policy, which never reserves slots.
+    /// A decode worker responded to the reservation of a slot. Ignored by the current policy, which never
+    /// reserves slots.
     SlotReservationAnswered {
         /// The request.
         request: RequestId,
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -22,7 +22,8 @@
     pub attempt: TrackedAttempt,
     /// Its timeout; `None`: only the client's deadline limits it.
     pub timeout: Option<Micros>,
-    /// Its first byte must be written before this, so that it arrives within its deduplication window.
+    /// No byte of it may be written from this time on, so that it arrives within its deduplication window;
+    /// `None`: no limit.
     pub deduplication_deadline: Option<Micros>,
 }
 
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -10,7 +10,8 @@
 use super::worker::Worker;
 use crate::interface::{Class, Micros, Settings};
 
-/// A worker counts as slow from this multiple of the median of its role on; smaller differences are noise.
+/// A worker counts as slow if its slowness is at least this multiple of the median of its role; smaller
+/// differences are noise.
 pub(super) const SLOWNESS_THRESHOLD: f64 = 1.5;
 
 /// References to all state that a decision depends on, at one moment. Decisions do not modify it.
@@ -59,8 +60,8 @@
         class.first_token_objective.saturating_add(length_objective as Micros)
     }
 
-    /// The latency of a worker relative to the median worker of its role. It is 1 below
-    /// [`SLOWNESS_THRESHOLD`], and at least the inverse of the capacity fraction during slow start.
+    /// The latency of a worker relative to the median worker of its role: 1 below [`SLOWNESS_THRESHOLD`], but
+    /// during slow start at least the inverse of the worker's warm fraction.
     pub fn relative_slowness(&self, worker: &Worker) -> f64 {
         let median = self.membership.median_slowness(worker.role);
         let relative = worker.slowness() / median.max(0.1);
--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -18,7 +18,8 @@
 /// within a cell. Deployments specify ratios of up to 2.7 between zones.
 const SLOW_LINK_LATENCY_RATIO: f64 = 3.0;
 
-/// From this decayed number of recent decode timeouts outside the cell, all requests prefer local workers.
+/// All requests prefer local workers from this number of recent decode timeouts outside the cell on. The
+/// number decays with time.
 const REMOTE_TIMEOUT_THRESHOLD: f64 = 0.5;
 
 /// A decode worker with the inputs of one decision.
@@ -73,8 +74,6 @@
         Some(selected.worker.id.clone())
     }
 
-    /// Returns the candidate with the lowest projected KV cache utilization among those that satisfy
-    /// `is_included`.
     fn least_utilized(&self, is_included: impl Fn(&Worker) -> bool) -> Option<&DecodeCandidate<'a>> {
         let included = self.candidates.iter().filter(|c| is_included(c.worker));
         included.min_by(|a, b| {
@@ -84,8 +83,9 @@
         })
     }
 
-    /// Returns the best candidate in the cell of the KV cache, or else in its zone, if the request belongs to
-    /// the fraction that is decoded locally and the candidate's utilization is within the tolerance.
+    /// The best candidate in the cell of the KV cache, or else in its zone. `None` if the request does not
+    /// belong to the fraction that is decoded locally, or if the utilization of these candidates exceeds the
+    /// tolerance.
     fn local_candidate(&self, holder: &Worker, best: &DecodeCandidate<'a>) -> Option<&DecodeCandidate<'a>> {
         let best_distance = holder.distance_to(best.worker);
         let locality_draw = self.locality_draw();
@@ -113,8 +113,8 @@
         })
     }
 
-    /// Returns the factor for the utilization tolerance of a nearer worker: the number of routers for a
-    /// worker in the cell of the KV cache while load can't be observed, else 1.
+    /// The factor for the utilization tolerance of a nearer worker: the number of routers for a worker in the
+    /// cell of the KV cache while load can't be observed, else 1.
     ///
     /// Without load reports, each attempt of this router is counted once for every router. One attempt is
     /// weak evidence of the other routers' load and must not move requests out of the cell.
@@ -127,10 +127,10 @@
         }
     }
 
-    /// Returns the ratio of first-token latencies over the farther and the nearer distance; at least 1.
+    /// The ratio of first-token latencies over the farther and the nearer distance; at least 1.
     ///
-    /// The preference for the nearer worker grows with this ratio, which covers slow links of any cause. It
-    /// is counterproductive while the learned latency of the farther distance is out of date.
+    /// The preference for the nearer worker grows with this ratio, which covers slow links of any cause. The
+    /// preference is counterproductive while the learned latency of the farther distance is out of date.
     fn latency_ratio(&self, near: Distance, far: Distance) -> f64 {
         (self.time_per_token(far) / self.time_per_token(near).max(1e-9)).max(1.0)
     }
@@ -139,14 +139,15 @@
         self.context.latency.decode_time_per_token(distance).value_or(0.0)
     }
 
-    /// Returns a pseudo-random number between 0 and 1, derived from the request id. A request is decoded
-    /// locally if its number is below the local fraction.
+    /// A pseudo-random number between 0 and 1, derived from the request ID. A request is decoded locally if
+    /// its number is below the local fraction.
     ///
     /// A router does not see the attempts of other routers. It therefore keeps only the fraction of requests
     /// local that matches the ratio of local decode capacity to local prefill capacity, and sends the others
-    /// to workers with spare capacity. After recent timeouts outside the cell the number is 0, so that local
-    /// workers take all requests within the utilization tolerance: learned latencies reveal slow links only
-    /// after seconds.
+    /// to workers with spare capacity.
+    ///
+    /// After recent timeouts outside the cell the number is 0, so that local workers take all requests within
+    /// the utilization tolerance: learned latencies reveal slow links only after seconds.
     fn locality_draw(&self) -> f64 {
         let remote_timeouts = self.context.decode_timeouts.outside_cell.value_at(self.context.now);
         if remote_timeouts >= REMOTE_TIMEOUT_THRESHOLD {
@@ -156,13 +157,14 @@
         unit_interval(xxh3_64_with_seed(&id.to_le_bytes(), self.context.seed ^ 1))
     }
 
-    /// Returns the factor that reduces the local fraction while workers in the cell time out more often than
-    /// others; 1 if they do not.
+    /// The factor that reduces the local fraction while workers in the cell time out more often than others;
+    /// 1 if they do not.
     ///
     /// It covers congestion that no load report shows, and is counterproductive if the whole fleet is
-    /// congested. It is never 0, so that the recovery of local workers is noticed. It stays 1 if remote first
-    /// tokens take longer than the distance explains: the links are slow then, and remote decoding would be
-    /// worse.
+    /// congested. It is never 0, so that the recovery of local workers is noticed.
+    ///
+    /// It stays 1 if remote first tokens take longer than the distance explains: the links are slow then, and
+    /// remote decoding would be worse.
     fn local_timeout_factor(&self) -> f64 {
         let now = self.context.now;
         let timeouts = self.context.decode_timeouts;
--- a/src/policy/decode_timeouts.rs
+++ b/src/policy/decode_timeouts.rs
@@ -4,7 +4,7 @@
 use super::worker::Distance;
 use crate::interface::Micros;
 
-/// Recent decode attempts that timed out.
+/// Recent decode attempts that timed out, as sums that decay with time.
 #[derive(Default)]
 pub(super) struct DecodeTimeouts {
     /// At workers in the cell of the KV cache.
--- a/src/policy/eligibility.rs
+++ b/src/policy/eligibility.rs
@@ -32,12 +32,13 @@
     }
     let healthy_count = available.iter().filter(|candidate| candidate.is_healthy).count();
     let reachable_count = context.membership.ready(role).filter(|worker| !is_unreachable(worker)).count();
-    // Panic mode: if most workers of a role look unhealthy, the cause is likely elsewhere (a link or the
-    // load), and unhealthy workers are used, too. Unreachable workers remain excluded, except for trials,
-    // unless no worker is reachable. If no prefill worker is, decode workers that can prefill replace them.
+    // Panic mode: if most workers of a role look unhealthy, the cause is likely not in the workers (a link or
+    // the load), so unhealthy workers are used, too. Unreachable workers remain excluded, except for their
+    // trials, while any worker of the role is reachable. If no prefill worker is reachable, decode workers
+    // that can prefill substitute for them, and the unreachable ones stay excluded.
     let use_only_healthy = healthy_count * 2 >= reachable_count && healthy_count > 0;
-    let has_fallback_role = role == Role::Prefill && context.settings.decode_can_prefill;
-    let use_unreachable = reachable_count == 0 && !has_fallback_role;
+    let has_substitutes = role == Role::Prefill && context.settings.decode_can_prefill;
+    let use_unreachable = reachable_count == 0 && !has_substitutes;
     let is_eligible = |candidate: &Candidate| {
         let is_usable_in_panic = !is_unreachable(candidate.worker) || use_unreachable;
         candidate.is_healthy || !use_only_healthy && is_usable_in_panic
@@ -65,7 +66,6 @@
     context.membership.ready(role).filter_map(candidate).collect()
 }
 
-/// Whether connections to a worker can't be established.
 fn is_unreachable(worker: &Worker) -> bool {
     worker.activity().is_some_and(|activity| activity.outlier.is_unreachable())
 }
--- a/src/policy/latency_model.rs
+++ b/src/policy/latency_model.rs
@@ -5,17 +5,22 @@
 use super::worker::Distance;
 use crate::interface::{Micros, Stage};
 
-/// Samples are limited to this multiple of the average, since an attempt that hangs is not representative.
+/// Samples are limited to this multiple of the average, since the time of an attempt that hangs is not
+/// representative.
 const MAX_SAMPLE_OVER_AVERAGE: f64 = 2.0;
 
 /// Moving averages of latencies and prompt sizes over all workers.
 #[derive(Default)]
 pub(super) struct LatencyModel {
+    /// Time of a prefill per token of work.
     prefill_time_per_token: MovingAverage,
-    /// Indexed by `Distance as usize`.
+    /// Time to the first token of a decode per token of work, indexed by `Distance as usize`.
     decode_times_per_token: [MovingAverage; 3],
+    /// The same over all distances.
     first_token_time_per_token: MovingAverage,
+    /// Uncached prompt tokens of a prefill.
     uncached_tokens: MovingAverage,
+    /// Prompt tokens of a request.
     prompt_tokens: MovingAverage,
 }
 
@@ -29,7 +34,6 @@
 }
 
 impl LatencyKind {
-    /// Returns the kind of measurement that an attempt at this stage provides.
     pub fn of(stage: Stage, distance: Distance) -> Self {
         match stage {
             Stage::Prefill => LatencyKind::Prefill,
@@ -39,22 +43,19 @@
 }
 
 impl LatencyModel {
-    /// Returns the average time of a prefill per token of work.
     pub fn prefill_time_per_token(&self) -> MovingAverage {
         self.prefill_time_per_token
     }
 
-    /// Returns the average time to the first token of a decode per token of work, over all distances.
+    /// Over all distances; see [`Self::decode_time_per_token`].
     pub fn first_token_time_per_token(&self) -> MovingAverage {
         self.first_token_time_per_token
     }
 
-    /// Returns the average number of uncached prompt tokens of a prefill.
     pub fn uncached_tokens(&self) -> MovingAverage {
         self.uncached_tokens
     }
 
-    /// Returns the average number of prompt tokens of a request.
     pub fn prompt_tokens(&self) -> MovingAverage {
         self.prompt_tokens
     }
@@ -69,8 +70,8 @@
         self.uncached_tokens.add(tokens);
     }
 
-    /// Returns the average time to the first token of a decode per token of work, after a transfer of the KV
-    /// cache over this distance.
+    /// The average time to the first token of a decode per token of work, after a transfer of the KV cache
+    /// over this distance.
     pub fn decode_time_per_token(&self, distance: Distance) -> MovingAverage {
         self.decode_times_per_token[distance as usize]
     }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Returns how many times the timeouts of this stage are doubled.
+    /// How many times the timeouts of this stage are doubled.
     pub fn doublings(&self, stage: Stage) -> u32 {
         match stage {
             Stage::Prefill => self.prefill,
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -127,7 +127,7 @@
     /// Sends a health check to a prefill worker whose load is not known, if health checks return load
     /// reports.
     ///
-    /// This reveals queues that no router sees, at the cost of the health checks and of the wait for them.
+    /// The reports reveal queues that no router sees. They cost the health checks and the wait for them.
     fn request_load_report(
         &mut self,
         worker_id: &WorkerId,
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -43,8 +43,8 @@
         own + presumed + confidence * tokens + (1.0 - confidence) * mean_queue
     }
 
-    /// Returns the queue length that a worker has reported. Reports include cached tokens; the result is
-    /// reduced by the average share of cached tokens.
+    /// The queue length that a worker has reported. Reports include cached tokens, so the result is reduced
+    /// by the average share of cached tokens.
     pub fn reported_queue(&self, worker: &Worker) -> ReportedQueue {
         let report = worker.activity().and_then(|activity| activity.load.latest_report());
         let Some(received) = report else { return ReportedQueue::default() };
@@ -58,8 +58,9 @@
 
     /// Projects the KV cache utilization of a worker, weighted by its slowness.
     ///
-    /// A fresh load report determines the result. As the report ages, and without one, the estimate assumes
-    /// that each other router uses as much of the worker's KV cache as this one.
+    /// A fresh load report determines the result, together with the attempts that this router has sent since.
+    /// As the report ages, and without one, the estimate assumes that each other router uses as much of the
+    /// worker's KV cache as this one.
     pub fn projected_utilization(&self, worker: &'a Worker) -> f64 {
         let in_flight = || self.context.in_flight_at(worker);
         let own = in_flight().map(|attempt| attempt.added_tokens).sum::<f64>();
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -75,12 +75,11 @@
         self.health_check_sent_at = Some(now);
     }
 
-    /// Returns the latest report, if any.
     pub fn latest_report(&self) -> Option<ReceivedReport> {
         self.report
     }
 
-    /// Returns the queued tokens presumed from gossip and timeouts, decayed to `now`.
+    /// The queued tokens presumed from gossip and timeouts, decayed to `now`.
     pub fn presumed_tokens(&self, now: Micros) -> f64 {
         self.presumed_tokens.value_at(now)
     }
--- a/src/policy/local_reply.rs
+++ b/src/policy/local_reply.rs
@@ -8,7 +8,7 @@
 use crate::rules::idempotency::is_rejection_harmless;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Number of distinct values of `retry_after`.
+/// Number of distinct values of `retry_after`; see [`local_reply`].
 const RETRY_AFTER_STEPS: u64 = 1000;
 
 /// The reason for which a request has to end now; `None` if it may go on.
@@ -33,7 +33,8 @@
     if request.may_have_run() && !retry::may_retry_anywhere(context, request) {
         return Some(EndReason::NotRetryable);
     }
-    // A late request whose decode has timed out would only take decode capacity from requests in time.
+    // A late request whose decode has timed out would only take decode capacity from requests that are still
+    // in time.
     let is_awaiting_decode = matches!(request.phase(), RequestPhase::AwaitingDecode { .. });
     if is_awaiting_decode && request.has_decode_timeout() {
         let is_late = now >= request.received_at + context.first_token_objective(request);
@@ -42,8 +43,8 @@
     None
 }
 
-/// The local reply to a request: a rejection, with a retry time if allowed, if retrying is harmless;
-/// otherwise a failure.
+/// The local reply to a request: a rejection if retrying is harmless, with a retry time if the settings allow
+/// one; otherwise a failure.
 pub(super) fn local_reply(context: DecisionContext<'_>, request: &Request, reason: EndReason) -> Action {
     let id = request.spec.request;
     if !is_rejection_harmless(context.class(request).idempotency, request.may_have_run()) {
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -13,7 +13,7 @@
 /// Number of worker roles.
 pub(super) const ROLE_COUNT: usize = 3;
 
-/// Minimum interval between two searches for workers that have become inactive.
+/// Minimum interval between two searches for workers that can be marked as inactive.
 const DEACTIVATION_INTERVAL: Micros = 1_000_000;
 
 /// KV cache capacity of a worker, if the settings do not specify it.
@@ -22,13 +22,13 @@
 /// The workers of one role.
 #[derive(Default)]
 struct RoleMembers {
-    /// Sorted by id. Contiguous, because decisions iterate over all of them.
+    /// Sorted by ID. Contiguous, because decisions iterate over all of them.
     workers: Vec<Worker>,
     /// Median slowness of all workers.
     slowness: RunningMedian,
     /// Number of workers in service.
     ready: usize,
-    /// Highest value of `ready` after an update.
+    /// Highest value of `ready` so far, taken after each update.
     peak_ready: usize,
 }
 
@@ -45,7 +45,7 @@
         self.position(id).ok().map(|position| &mut self.workers[position])
     }
 
-    /// Adds a worker whose id is not present yet.
+    /// Adds a worker whose ID is not present yet.
     fn insert(&mut self, worker: Worker) {
         self.slowness.insert(worker.slowness());
         let position = self.position(&worker.id).unwrap_or_else(|position| position);
@@ -69,19 +69,18 @@
     gone: BTreeSet<WorkerId>,
     /// Workers that are not inactive.
     active: BTreeSet<WorkerId>,
-    /// Time of the last search for workers that have become inactive.
+    /// Time of the last search for workers that can be marked as inactive.
     last_deactivation: Micros,
     /// Latest end of the slow start of any worker.
     slow_start_until: Micros,
 }
 
 impl Membership {
-    /// Returns the worker with this id.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
         self.roles.iter().find_map(|members| members.get(id))
     }
 
-    /// Marks the worker with this id as active and returns its activity for modification.
+    /// Marks the worker with this ID as active and returns its activity for modification.
     pub fn activity_mut(&mut self, id: &WorkerId) -> Option<&mut WorkerActivity> {
         let Membership { roles, active, .. } = self;
         let worker = roles.iter_mut().find_map(|members| members.get_mut(id))?;
@@ -110,7 +109,7 @@
         });
     }
 
-    /// Iterates over all workers, grouped by role and sorted by id within a role.
+    /// Iterates over all workers, grouped by role and sorted by ID within a role.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.roles.iter().flat_map(|members| &members.workers)
     }
@@ -125,33 +124,28 @@
         workers.filter(move |worker| worker.activity().is_some_and(|a| a.slow_start.is_active(settings, now)))
     }
 
-    /// Iterates over the workers of a role that are in service, sorted by id.
+    /// Iterates over the workers of a role that are in service, sorted by ID.
     pub fn ready(&self, role: Role) -> impl Iterator<Item = &Worker> {
         self.roles[role as usize].workers.iter().filter(|worker| worker.is_ready())
     }
 
-    /// Returns the number of workers of a role that are in service.
     pub fn ready_count(&self, role: Role) -> usize {
         self.roles[role as usize].ready
     }
 
-    /// Returns the highest number of workers in service at the same time for each role, indexed by
-    /// `Role as usize`.
+    /// The highest number of workers of each role that were in service at once, indexed by `Role as usize`.
     pub fn peak_ready(&self) -> [usize; ROLE_COUNT] {
         self.roles.each_ref().map(|members| members.peak_ready)
     }
 
-    /// Returns the number of zones with listed workers.
     pub fn zone_count(&self) -> usize {
         self.topology.zone_count()
     }
 
-    /// Returns the decode capacity ratio of a worker's cell and zone.
     pub fn decode_capacity_ratio(&self, worker: &Worker) -> DecodeCapacityRatio {
         self.topology.decode_capacity_ratio(&worker.location)
     }
 
-    /// Returns the median slowness of the workers of a role.
     pub fn median_slowness(&self, role: Role) -> f64 {
         self.roles[role as usize].slowness.median()
     }
@@ -237,7 +231,7 @@
         (!is_same_process).then_some(id)
     }
 
-    /// Adds a worker process that has no location yet. It replaces an earlier process with the same id and
+    /// Adds a worker process that has no location yet. It replaces an earlier process with the same ID and
     /// takes over its attempts in flight.
     fn insert(&mut self, mut worker: Worker, settings: &Settings, now: Micros) {
         if let Some(mut replaced) = self.remove(&worker.id) {
@@ -261,8 +255,8 @@
         Some(worker)
     }
 
-    /// Returns the location of a known worker that is listed in this zone and cell, and registers the worker
-    /// there if it is new at this location.
+    /// The location of a known worker that is listed in this zone and cell. The worker is registered there if
+    /// it is new at this location.
     fn location(&mut self, id: &WorkerId, zone: &str, cell: u64) -> Location {
         let current = self.get(id).map(|worker| &worker.location);
         let is_unchanged = |location: &&Location| location.is_in_zone(zone) && location.cell == cell;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,7 +13,7 @@
 //! | Requests, their phases and attempts | `request` |
 //! | The fleet | `membership`, `topology`, `worker`, `discovery_watch` |
 //! | Health and load of a worker | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
-//! | Estimate of the queue at a worker | `load_estimator` |
+//! | Estimates of the load of a worker | `load_estimator` |
 //! | Learned state | `latency_model`, `prefix_table`, `decode_timeouts` |
 //! | Updates of the learned state from outcomes | `feedback` |
 //! | Tenant quotas | `tenant_quotas` |
@@ -108,7 +108,8 @@
 impl Policy {
     /// A policy without workers or requests. The routers of a deployment use different seeds.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // The class of requests whose class is not configured: never retried, and of the lowest priority.
+        // The class of requests whose class is not configured: not idempotent, so never retried once it may
+        // have run, and of the lowest priority.
         settings.classes.push(Class { idempotency: Idempotency::NonIdempotent, ..Class::default() });
         Policy { quotas: TenantQuotas::new(&settings), settings, seed, ..Policy::default() }
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -26,7 +26,7 @@
 }
 
 impl OutlierDetector {
-    /// Records a successful answer or a stream that has started.
+    /// Records a successful response, or a response stream that has started.
     pub fn record_success(&mut self, now: Micros) {
         self.last_success = now;
         self.unreachable = false;
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -14,7 +14,7 @@
 /// A cache holder is not preferred while its load exceeds this multiple of the mean load (Preble's value).
 const MAX_LOAD_OVER_MEAN: f64 = 2.0;
 
-/// A prefix gets one additional home for each this many prefill workers, because the most popular prefix may
+/// A prefix has one home, and another one per this many prefill workers, because the most popular prefix may
 /// account for a tenth of all requests.
 const PREFILL_WORKERS_PER_HOME: u64 = 60;
 
@@ -143,8 +143,7 @@
         candidates
     }
 
-    /// Returns the mean queue length reported by the eligible workers, weighted by the confidence in each
-    /// report.
+    /// The mean queue length reported by the eligible workers, weighted by the confidence in each report.
     fn mean_reported_queue(&self) -> f64 {
         let mut tokens = 0.0;
         let mut confidence = 1e-9;
@@ -156,11 +155,10 @@
         tokens / confidence
     }
 
-    /// Returns a worker in slow start that can process the prompt in time, if the prompt is not cached at any
-    /// worker.
+    /// A worker in slow start that can process the prompt in time, if the prompt is not cached at any worker.
     ///
-    /// Eligible workers in slow start hold a permit. Without this preference, a router that is one of
-    /// hundreds would not select such a worker before the permit expires.
+    /// An eligible worker in slow start is one for which this router holds a permit. Without this preference,
+    /// a router that is one of hundreds would not select such a worker before the permit expires.
     fn slow_starting_candidate<'c>(
         &self,
         candidates: &'c Candidates<'a>,
@@ -181,8 +179,8 @@
         slow_starting.min_by_key(|c| c.tie_breaker)
     }
 
-    /// Returns the worker that caches most of the prompt, if enough of the prompt is cached there and its
-    /// load is within [`MAX_LOAD_OVER_MEAN`].
+    /// The worker that caches most of the prompt, if enough of the prompt is cached there and its load is
+    /// within [`MAX_LOAD_OVER_MEAN`].
     fn best_cache_holder<'c>(
         &self,
         candidates: &'c Candidates<'a>,
@@ -204,11 +202,11 @@
         ((saves_enough || is_home(holder)) && is_balanced).then_some(holder)
     }
 
-    /// Returns the worker with the lowest cost for the prompt.
+    /// The worker with the lowest cost for the prompt.
     ///
     /// Reprocessing cached tokens delays every queued prefill. Under load, moving prompts away from their
-    /// cache lengthens the queues that the moves try to avoid, until the caches no longer produce hits.
-    /// The weight of uncached tokens therefore grows with the number of prefills in flight.
+    /// cache lengthens the queues that the moves try to avoid, until the caches no longer produce hits. The
+    /// weight of uncached tokens therefore grows with the number of prefills in flight.
     fn lowest_cost_candidate<'c>(&self, candidates: &'c Candidates<'a>) -> Option<&'c PrefillCandidate<'a>> {
         let in_flight = self.context.requests.in_flight();
         let prefills = in_flight.filter(|attempt| attempt.stage == Stage::Prefill).count();
@@ -236,12 +234,12 @@
         cached * utilization.clamp(0.0, 1.0) * needed
     }
 
-    /// Returns the home of the prompt's prefix, by weighted rendezvous hashing. It is the same at every
-    /// router of a zone. The share of prefixes whose home is in the router's own zone is proportional to that
-    /// zone's share of the prefill capacity.
+    /// The home of the prompt's prefix, by weighted rendezvous hashing. It is the same at every router of a
+    /// zone.
     ///
-    /// In a large fleet a prefix has several homes, so that a popular one does not exceed the capacity of a
-    /// single worker. All requests of a session use the same home.
+    /// The share of prefixes whose home is in the router's own zone is proportional to that zone's share of
+    /// the prefill capacity. In a large fleet a prefix has several homes, so that a popular one does not
+    /// exceed the capacity of a single worker. All requests of a session use the same home.
     fn rendezvous_home(&self) -> Option<&'a Worker> {
         let peak_prefill_workers = self.context.membership.peak_ready()[Role::Prefill as usize] as u64;
         let home_count = 1 + peak_prefill_workers / PREFILL_WORKERS_PER_HOME;
@@ -266,8 +264,8 @@
     }
 }
 
-/// Returns the key for rendezvous hashing: a hash of the shared prefix or else of the session, which is the
-/// same at every router, or else a value specific to the request and this router.
+/// The key for rendezvous hashing: a hash of the shared prefix or, without one, of the session. It is the
+/// same at every router. A request with neither has a key that is specific to it and to this router.
 fn affinity_key(spec: &RequestSpec, seed: u64) -> u64 {
     let shared_name = spec.prefix.as_ref().or(spec.session.as_ref());
     let RequestId(id) = spec.request;
--- a/src/policy/prefix_table.rs
+++ b/src/policy/prefix_table.rs
@@ -54,8 +54,8 @@
 }
 
 impl CachedPrompt<'_> {
-    /// Returns the prompt tokens presumed to be cached at a worker: those of the prefix or of the session,
-    /// whichever are more.
+    /// The prompt tokens presumed to be cached at a worker: those of the prefix or of the session, whichever
+    /// is longer.
     pub fn tokens_at(&self, worker: &WorkerId) -> f64 {
         let prefix = (self.holders.and_then(|holders| holders.get(worker)))
             .filter(|cached| cached.is_fresh(self.now))
@@ -99,12 +99,12 @@
         CachedPrompt { spec, holders, session, now }
     }
 
-    /// Returns the total tokens of the prefixes presumed to be cached at a worker.
+    /// The tokens of all prefixes presumed to be cached at a worker.
     pub fn total_cached_tokens(&self, worker: &WorkerId) -> f64 {
         self.totals.get(worker).map_or(0, |totals| totals.prefix_tokens) as f64
     }
 
-    /// Removes the entries of these workers, whose processes have restarted with an empty cache.
+    /// Removes the entries of workers whose processes have restarted with an empty cache.
     pub fn remove_workers(&mut self, workers: &HashSet<WorkerId>) {
         for worker in workers {
             if self.totals.remove(worker).is_some() {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -2,7 +2,7 @@
 //!
 //! Each router has a token bucket for each worker in slow start. It may send an attempt to the worker while
 //! the bucket holds a whole permit, and each attempt takes one permit. The units of the bucket are called
-//! permits, because a token is a unit of prompt or answer text everywhere else.
+//! permits, because a token is a unit of prompt or response text everywhere else.
 
 use super::membership::{Membership, ROLE_COUNT};
 use super::slow_start_bucket::BUDGET_TO_REFILL_RATIO;
@@ -18,7 +18,7 @@
 }
 
 impl WarmThroughput {
-    /// Returns the completion rate of a warm worker with this weight, in requests per microsecond.
+    /// The completion rate of a warm worker with this weight, in requests per microsecond.
     fn completion_rate(&self, weight: f64) -> f64 {
         self.completions / f64::max(self.weight, 1e-9) * weight * std::f64::consts::LN_2
             / LOAD_HALF_LIFE as f64
@@ -34,12 +34,13 @@
 impl SlowStart {
     /// Refills all buckets for the time since the previous call.
     ///
-    /// The rate is the worker's present capacity times half of the overload multiple; the other half is
-    /// reserved for random variation between routers. The capacity is estimated from the completions that
-    /// this router observed at warm workers of the same role, or from their share of `quota_rate`, the sum of
-    /// this router's tenant quotas, if that is higher. Sent attempts are not counted, because most of them
-    /// are rejected in a retry storm. Without either source, a minimum rate applies at which the routers take
-    /// turns.
+    /// The rate is this router's share of the worker's present capacity, times half of the overload multiple.
+    /// The other half is reserved for random variation between routers.
+    ///
+    /// The share is estimated from the completions that this router observed at warm workers of the same
+    /// role, or from their share of `quota_rate`, the sum of this router's tenant quotas, if that is higher.
+    /// Sent attempts are not counted, because most of them are rejected in a retry storm. Without either
+    /// source, a minimum rate applies, at which the routers send one after another.
     ///
     /// This limits the load of a restarted worker at any request rate and any number of routers. The limit is
     /// lower than necessary while warm workers are idle.
--- a/src/policy/slow_start_bucket.rs
+++ b/src/policy/slow_start_bucket.rs
@@ -3,21 +3,23 @@
 use crate::interface::{Micros, Settings, WorkerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Ratio of the budget to the permits that refill the buckets of all routers in one overload window. Half of
-/// the budget is reserved for random variation.
+/// Ratio of the budget N of a worker to the permits that refill the buckets of all routers in one overload
+/// window. Half of the budget is reserved for random variation.
 ///
-/// The budget N is the number of attempts that all routers together may send to a worker in one overload
-/// window. Each router adds `N / (BUDGET_TO_REFILL_RATIO * replica_count)` permits per window to its bucket.
+/// N is the number of attempts that all routers together may send to the worker in one overload window. Each
+/// router adds `N / (BUDGET_TO_REFILL_RATIO * replica_count)` permits per window to its bucket.
 pub(super) const BUDGET_TO_REFILL_RATIO: f64 = 2.0;
 
 /// Allowance for random variation above the permits that refill the buckets in one window, in units of
-/// `sqrt(N) / 2`.
+/// `sqrt(N) / 2`, with N as for [`BUDGET_TO_REFILL_RATIO`].
 ///
 /// A worker is overloaded by more than `N + 2 * sqrt(N) + 2` attempts in an overload window. N is
 /// `overload_multiple` times the number of requests that the worker can complete in that window at its
-/// present capacity, and at least 2. The buckets of all routers receive `N / 2` permits per window, so the
-/// permits accumulated before the window may add up to `N / 2 + 2 * sqrt(N)`, which equals
-/// `N / 2 * (1 + 4 / sqrt(N))`. The last 2 attempts of the limit remain unused.
+/// present capacity, and at least 2.
+///
+/// The buckets of all routers receive `N / 2` permits per window, so the permits accumulated before the
+/// window may add up to `N / 2 + 2 * sqrt(N)`, which equals `N / 2 * (1 + 4 / sqrt(N))`. The last 2 attempts
+/// of the limit remain unused.
 const VARIATION_ALLOWANCE: f64 = 4.0;
 
 /// Lower bound of the warm fraction, for any settings.
@@ -48,12 +50,12 @@
         SlowStartBucket { started_at, listed_at: now, permits }
     }
 
-    /// Returns the start time of the process, from the endpoint list.
+    /// The start time of the process, from the endpoint list.
     pub fn started_at(&self) -> Option<Micros> {
         self.started_at
     }
 
-    /// Returns the end of the slow start; 0 if the worker started long ago.
+    /// The end of the slow start; 0 if the worker started long ago.
     pub fn ends_at(&self, settings: &Settings) -> Micros {
         self.started_at.map_or(0, |start| start.saturating_add(settings.slow_start_duration))
     }
@@ -63,8 +65,8 @@
         now < self.ends_at(settings)
     }
 
-    /// Returns the fraction of its full capacity that the worker is assumed to have. It grows linearly over
-    /// the slow start.
+    /// The fraction of its full capacity that the worker is assumed to have. It grows linearly over the slow
+    /// start.
     pub fn warm_fraction(&self, settings: &Settings, now: Micros) -> f64 {
         let age = self.started_at.map_or(f64::MAX, |start| now.saturating_sub(start) as f64);
         let progress = (age / settings.slow_start_duration.max(1) as f64).min(1.0);
@@ -85,10 +87,11 @@
     /// Refills the bucket for the time since `last_refill`, at a rate in permits per microsecond.
     ///
     /// The bucket holds at most one whole permit. The permits that all routers accumulate before a window and
-    /// add during it do not exceed the budget plus the allowance for random variation. If this router's share
-    /// of the permits that may accumulate (`accumulation_limit`) is less than one, an unused permit expires
-    /// after the same amount has been added once more. Otherwise dozens of routers could accumulate a permit
-    /// each and use them in one burst.
+    /// add during it do not exceed the budget plus the allowance for random variation.
+    ///
+    /// `accumulation_limit` is this router's share of the permits that may accumulate. If it is less than one
+    /// permit, an unused permit expires after the same amount has been added once more. Without this expiry,
+    /// dozens of routers could accumulate a permit each and use them in one burst.
     pub fn refill(&mut self, rate: f64, last_refill: Micros, settings: &Settings, now: Micros) {
         let elapsed = now - last_refill.max(self.listed_at).min(now);
         let per_window = rate * settings.overload_window as f64;
--- a/src/policy/statistics.rs
+++ b/src/policy/statistics.rs
@@ -9,7 +9,7 @@
 /// not dominate.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Returns the weight at `now` of a measurement taken at `measured_at`.
+/// The weight at `now` of a measurement taken at `measured_at`, between 0 and 1.
 pub(super) fn decay_factor(now: Micros, measured_at: Micros) -> f64 {
     0.5f64.powf(now.saturating_sub(measured_at) as f64 / LOAD_HALF_LIFE as f64)
 }
@@ -22,7 +22,7 @@
 }
 
 impl DecayingSum {
-    /// Returns the sum, decayed to `now`.
+    /// The sum, decayed to `now`.
     pub fn value_at(&self, now: Micros) -> f64 {
         if self.value == 0.0 { 0.0 } else { self.value * decay_factor(now, self.updated_at) }
     }
@@ -53,7 +53,7 @@
         self.value += (sample - self.value) * SAMPLE_WEIGHT.max(1.0 / self.samples);
     }
 
-    /// Returns the average, or `default` before the first sample.
+    /// The average, or `default` before the first sample.
     pub fn value_or(&self, default: f64) -> f64 {
         if self.samples > 0.0 { self.value } else { default }
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the median, the upper one of two; 1 if there are no values.
+    /// The median, the upper one of two; 1 if there are no values.
     pub fn median(&self) -> f64 {
         self.values.get(self.values.len() / 2).copied().unwrap_or(1.0)
     }
--- a/src/policy/topology.rs
+++ b/src/policy/topology.rs
@@ -15,7 +15,7 @@
 }
 
 impl StageCapacity {
-    /// Returns the capacity of one worker in service.
+    /// The capacity that a worker adds while it is in service.
     fn of_worker(role: Role, weight: f64) -> Self {
         StageCapacity {
             prefill: if role == Role::Decode { 0.0 } else { weight },
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Returns the share of the total decode capacity divided by the share of the total prefill capacity; 1
-    /// if there are no workers in service.
+    /// The share of the total decode capacity divided by the share of the total prefill capacity; 1 if there
+    /// are no workers in service.
     fn decode_to_prefill_ratio(&self, total: &StageCapacity) -> f64 {
         if self.workers == 0 {
             return 1.0;
@@ -109,7 +109,8 @@
     pub zone: f64,
 }
 
-/// All cells and zones with listed workers. The cost of an update does not grow with the number of workers.
+/// All cells and zones with listed workers. The cost of a change depends on the cell and zone that it
+/// concerns, not on the number of workers in the fleet.
 #[derive(Default)]
 pub(super) struct Topology {
     total: StageCapacity,
@@ -163,7 +164,7 @@
         location.zone_domain.update_capacity(|capacity| capacity.remove(worker));
     }
 
-    /// Returns the decode capacity ratio of this cell and zone.
+    /// The decode capacity ratio of this cell and zone.
     ///
     /// It is computed from the endpoint list alone, so that all routers agree on it: each router sees too
     /// little of the others' load.
@@ -172,7 +173,6 @@
         DecodeCapacityRatio { cell: ratio(&location.cell_domain), zone: ratio(&location.zone_domain) }
     }
 
-    /// Returns the number of zones with listed workers.
     pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -25,7 +25,7 @@
 }
 
 impl Distance {
-    /// Returns the next greater distance; [`Distance::Remote`] is the greatest.
+    /// The next greater distance; [`Distance::Remote`] is the greatest.
     pub fn next(self) -> Self {
         match self {
             Distance::SameCell => Distance::SameZone,
@@ -60,7 +60,7 @@
 }
 
 impl WorkerActivity {
-    /// Records a successful answer or a stream that has started.
+    /// Records a successful response, or a response stream that has started.
     pub fn record_success(&mut self, now: Micros) {
         self.outlier.record_success(now);
         self.completions.add(now, 1.0);
@@ -92,10 +92,10 @@
 /// A worker: its entry in the endpoint list and its measurements.
 ///
 /// A decision iterates over all workers of a role, of which a router in a large fleet has recently used only
-/// a few. The others are *inactive*: they differ only in the fields of this struct, and decisions do not read
-/// their activity.
+/// a few. The others are *inactive*: decisions do not read their activity, so they differ only in the other
+/// fields of this struct.
 pub(super) struct Worker {
-    /// Id of the worker.
+    /// ID of the worker.
     pub id: WorkerId,
     /// Stages that the worker serves.
     pub role: Role,
@@ -134,7 +134,6 @@
         self.status == WorkerStatus::Ready
     }
 
-    /// Returns the distance for the transfer of a KV cache from this worker to another one.
     pub fn distance_to(&self, other: &Worker) -> Distance {
         if self.location.cell == other.location.cell {
             Distance::SameCell
@@ -151,17 +150,17 @@
         self.slowness.add(ratio.clamp(min, max));
     }
 
-    /// Returns the moving average of the ratio of elapsed to expected time.
+    /// The moving average of the ratio of elapsed to expected time.
     pub fn slowness(&self) -> f64 {
         self.slowness.value_or(1.0)
     }
 
-    /// Returns the activity that decisions have to consider; `None` while the worker is inactive.
+    /// The activity that decisions have to consider; `None` while the worker is inactive.
     pub fn activity(&self) -> Option<&WorkerActivity> {
         (!self.is_inactive).then_some(&self.activity)
     }
 
-    /// Returns the recorded activity, also of an inactive worker.
+    /// The recorded activity, also of an inactive worker.
     pub fn recorded_activity(&self) -> &WorkerActivity {
         &self.activity
     }
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -59,7 +59,7 @@
     pub phase: ConnectionPhase,
     /// When the connection was accepted.
     pub accepted_at: Instant,
-    /// Whether at least one request has been answered on it.
+    /// Whether at least one response has been completed on it.
     pub has_answered: bool,
     /// Whether output is pending because the client does not read it.
     pub is_write_blocked: bool,
--- a/src/simulator/events.rs
+++ b/src/simulator/events.rs
@@ -73,7 +73,7 @@
     Ok(Event::StreamStarted { request, attempt, elapsed })
 }
 
-/// Parses the answer to a reservation: the kind is 1 if the slot was reserved, else any other number. The
+/// Parses the result of a reservation: the kind is 1 if the slot was reserved, else any other number. The
 /// attempt index is skipped.
 fn parse_slot_reservation(fields: &mut Fields<'_>) -> Result<Event, LineError> {
     let request = parse_request_id(fields)?;
--- a/tests/policy_placement.rs
+++ b/tests/policy_placement.rs
@@ -232,8 +232,8 @@
     assert!(local >= 150, "{local} of 160 KV caches stayed in their cell");
 }
 
-/// If health checks return load reports, one is sent before a prefill, whose worker is selected by the
-/// report. The prefill is sent without a report if none arrives in time.
+/// If health checks return load reports, one is sent before a prefill, and its report decides whether the
+/// worker gets the prefill. If no report arrives in time, the prefill is sent without one.
 #[test]
 fn a_health_check_precedes_a_prefill_but_does_not_block_it() {
     let settings =
--- a/tests/policy_slow_start.rs
+++ b/tests/policy_slow_start.rs
@@ -162,9 +162,9 @@
     }
 }
 
-/// With hundreds of routers, few had a prompt for a restarted worker while they held a permit for it. Workers
-/// with capacity were idle while others were congested. The routers must use the capacity of the starting
-/// worker without overloading it.
+/// Regression test for ticket5632: with hundreds of routers, few had a prompt for a restarted worker while
+/// they held a permit for it, so workers with capacity were idle while others were congested. The routers
+/// must use the capacity of the starting worker without overloading it.
 #[test]
 fn many_routers_use_the_capacity_of_a_starting_worker_without_overloading_it() {
     const ROUTERS: u64 = 100;
@@ -220,7 +220,7 @@
     assert!(total_sent >= total_capacity / 2.0, "{sent_per_second:?}: too few of {total_capacity}");
 }
 
-/// A prompt that would take too long on a starting worker is not sent there, even if there is a permit for
+/// A prompt that a starting worker would process too slowly is not sent there, even if there is a permit for
 /// it.
 #[test]
 fn a_starting_worker_is_not_preferred_for_prompts_that_it_cannot_prefill_in_time() {
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -1,6 +1,6 @@
 //! Requests as clients send them.
 
-/// A request on the platform's path.
+/// A chat completion request: 100 prompt tokens, at most 50 output tokens, and a deadline after 8 seconds.
 pub fn request(id: &str, class: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -9,7 +9,7 @@
     )
 }
 
-/// A JSON-RPC message.
+/// A JSON-RPC message, in a request to the frontend for tool calls.
 pub fn rpc_request(body: &str) -> String {
     format!("POST /rpc HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
