--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -46,8 +46,7 @@
         self.report = Some(ReceivedReport { received_at: now, report });
     }
 
-    /// Adds queued tokens presumed from gossip or a timeout. The number is negative when they have been
-    /// processed.
+    /// Adds queued tokens presumed from gossip or a timeout; removes them if `tokens` is negative.
     pub fn add_presumed_tokens(&mut self, now: Micros, tokens: f64) {
         self.presumed_tokens.add(now, tokens);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -114,8 +114,8 @@
         Policy { quotas: TenantQuotas::new(&settings), settings, seed, ..Policy::default() }
     }
 
-    /// Handles one event and appends the resulting actions to `out`. Time is monotonic: a `now` before the
-    /// latest one is replaced by it.
+    /// Handles one event and appends the resulting actions to `out`. Time is monotonic: a `now` earlier than
+    /// that of a previous event counts as that of the previous event.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.slow_start.refill(
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -66,8 +66,8 @@
         self.completions.add(now, 1.0);
     }
 
-    /// Records that the worker rejects requests of this class and tenant. Other requests may still be sent to
-    /// it.
+    /// Records that the worker rejected a request of this class and tenant. It counts as rejecting such
+    /// requests until `until`; other requests may still be sent to it.
     pub fn record_rejection(&mut self, traffic: TrafficKey, until: Micros) {
         self.rejecting_until.insert(traffic, until);
     }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -327,10 +327,13 @@
     for outcome in [Outcome::TimedOut, Outcome::ConnectionLost, Outcome::WorkerError] {
         let mut harness = PolicyHarness::fleet(settings());
         harness.request(1, "non-idempotent");
-        let then = harness.end_attempt(1, 0, outcome);
-        let release = then.iter().position(|a| matches!(a, Action::ReleaseCache { .. }));
-        let send = then.iter().position(|a| matches!(a, Action::Send { .. }));
-        assert!(release.is_some() && send.is_none_or(|send| release < Some(send)), "{outcome:?}: {then:?}");
+        let actions = harness.end_attempt(1, 0, outcome);
+        let release = actions.iter().position(|a| matches!(a, Action::ReleaseCache { .. }));
+        let send = actions.iter().position(|a| matches!(a, Action::Send { .. }));
+        assert!(
+            release.is_some() && send.is_none_or(|send| release < Some(send)),
+            "{outcome:?}: {actions:?}"
+        );
     }
 }
 
