--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -8,7 +8,7 @@
 use super::attempt_plan::AttemptPlan;
 use super::decode_choice::DecodeChooser;
 use super::feedback::EndedAttempt;
-use super::load_view::ReportNeed;
+use super::load_view::HealthCheckNeed;
 use super::local_reply::{end_reason, local_reply};
 use super::request::{HeldCache, Request, RequestPhase};
 use super::sweep::sweep_margin;
@@ -36,13 +36,13 @@
     }
 }
 
-/// Whether a prefill has to wait for a load report of its worker.
+/// Whether a prefill may be sent, or has to wait for a load report of its worker.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LoadReportStatus {
-    /// The load is known, or no report can be requested.
-    NotNeeded,
+enum PrefillReadiness {
+    /// The load is known, no report can be requested, or one is overdue.
+    Ready,
     /// A report was requested and has not arrived yet.
-    Pending,
+    AwaitsReport,
 }
 
 impl Policy {
@@ -97,7 +97,7 @@
         let Some(request) = self.requests.get(id) else { return };
         let Some(route) = Route::choose(self.context(), request) else { return };
         let is_prefill = matches!(route.stage, PlannedStage::Prefill { .. });
-        if is_prefill && self.request_load_report(&route.worker, id, out) == LoadReportStatus::Pending {
+        if is_prefill && self.request_load_report(&route.worker, id, out) == PrefillReadiness::AwaitsReport {
             return;
         }
         let Some(request) = self.requests.get(id) else { return };
@@ -127,39 +127,39 @@
     /// Sends a health check to a prefill worker whose load is not known, if health checks return load
     /// reports.
     ///
-    /// This reveals queues that no router sees, at the cost of the health checks and of the wait for them.
+    /// The reports reveal queues that no router sees. They cost the health checks and the wait for them.
     fn request_load_report(
         &mut self,
         worker_id: &WorkerId,
         id: RequestId,
         out: &mut Vec<Action>,
-    ) -> LoadReportStatus {
+    ) -> PrefillReadiness {
         let health_checks_report_load =
             self.settings.health_checks_allowed && self.settings.load_reporting != LoadReporting::None;
         let Some(worker) = self.membership.activity_mut(worker_id).filter(|_| health_checks_report_load)
         else {
-            return LoadReportStatus::NotNeeded;
+            return PrefillReadiness::Ready;
         };
         let fresh_since = self.now.saturating_sub(self.settings.connect_timeout);
-        match worker.load.report_need(self.now, fresh_since) {
-            ReportNeed::Satisfied => return LoadReportStatus::NotNeeded,
-            ReportNeed::Pending => return LoadReportStatus::Pending,
-            ReportNeed::Missing => {}
+        match worker.load.health_check_need(self.now, fresh_since) {
+            HealthCheckNeed::NotNeeded => return PrefillReadiness::Ready,
+            HealthCheckNeed::InProgress => return PrefillReadiness::AwaitsReport,
+            HealthCheckNeed::Required => {}
         }
         let request = self.requests.get_mut(id);
         if request.is_none_or(|request| request.take_health_check().is_none()) {
-            return LoadReportStatus::NotNeeded;
+            return PrefillReadiness::Ready;
         }
         worker.load.health_check_sent(self.now);
         out.push(Action::CheckHealth { worker: worker_id.clone() });
-        LoadReportStatus::Pending
+        PrefillReadiness::AwaitsReport
     }
 
     /// Sends an attempt to a worker if [`AttemptPlan`] allows it. All attempts are sent here.
     fn send(&mut self, id: RequestId, worker_id: &WorkerId, stage: PlannedStage, out: &mut Vec<Action>) {
         let Some(plan) = AttemptPlan::new(self.context(), id, worker_id, stage) else { return };
         let AttemptPlan { attempt, timeout, deduplication_deadline } = plan;
-        let (stage, tokens) = (attempt.stage, attempt.tokens);
+        let (stage, added_tokens) = (attempt.stage, attempt.added_tokens);
         if let (Some(request), Some(worker)) =
             (self.requests.get_mut(id), self.membership.activity_mut(worker_id))
         {
@@ -171,7 +171,7 @@
             worker.slow_start.take_permit();
         }
         if stage == Stage::Prefill {
-            self.gossip_queue_change(worker_id, tokens, out);
+            self.gossip_queue_change(worker_id, added_tokens, out);
         }
         out.push(Action::Send {
             request: id,
@@ -208,7 +208,7 @@
         let traffic = request.traffic_key();
         self.record_load_report(&attempt.worker, end.report);
         if attempt.stage == Stage::Prefill {
-            self.gossip_queue_change(&attempt.worker, -attempt.tokens, out);
+            self.gossip_queue_change(&attempt.worker, -attempt.added_tokens, out);
             // It may have completed just as it timed out or lost its connection, and left a KV cache.
             if !outcome.had_no_effect() {
                 out.push(Action::ReleaseCache { request: id });
--- a/src/policy/load_estimator.rs
+++ b/src/policy/load_estimator.rs
@@ -36,15 +36,15 @@
         let now = self.context.now;
         let own: f64 = (self.context.in_flight_at(worker))
             .filter(|attempt| attempt.stage == Stage::Prefill)
-            .map(|attempt| attempt.tokens)
+            .map(|attempt| attempt.added_tokens)
             .sum();
         let ReportedQueue { tokens, confidence } = self.reported_queue(worker);
         let presumed = worker.activity().map_or(0.0, |activity| activity.load.presumed_tokens(now));
         own + presumed + confidence * tokens + (1.0 - confidence) * mean_queue
     }
 
-    /// Returns the queue length that a worker has reported. Reports include cached tokens; the result is
-    /// reduced by the average share of cached tokens.
+    /// The queue length that a worker has reported. Reports include cached tokens, so the result is reduced
+    /// by the average share of cached tokens.
     pub fn reported_queue(&self, worker: &Worker) -> ReportedQueue {
         let report = worker.activity().and_then(|activity| activity.load.latest_report());
         let Some(received) = report else { return ReportedQueue::default() };
@@ -56,13 +56,14 @@
         ReportedQueue { tokens: tokens * uncached_share.min(1.0), confidence }
     }
 
-    /// Projects the memory utilization of a worker, weighted by its slowness.
+    /// Projects the KV cache utilization of a worker, weighted by its slowness.
     ///
-    /// A fresh load report determines the result. As the report ages, and without one, the estimate assumes
-    /// that each other router uses as much of the worker's memory as this one.
+    /// A fresh load report determines the result, together with the attempts that this router has sent since.
+    /// As the report ages, and without one, the estimate assumes that each other router uses as much of the
+    /// worker's KV cache as this one.
     pub fn projected_utilization(&self, worker: &'a Worker) -> f64 {
         let in_flight = || self.context.in_flight_at(worker);
-        let own = in_flight().map(|attempt| attempt.tokens).sum::<f64>();
+        let own = in_flight().map(|attempt| attempt.added_tokens).sum::<f64>();
         let extrapolated = own * f64::from(self.context.settings.replica_count);
         let report = worker.activity().and_then(|activity| activity.load.latest_report());
         let projected_tokens = match report {
@@ -71,14 +72,14 @@
                 report: LoadReport { kv_cache_utilization: Some(utilization), .. },
             }) => {
                 let sent_since: f64 =
-                    in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.tokens).sum();
+                    in_flight().filter(|a| a.sent_at >= received_at).map(|a| a.added_tokens).sum();
                 // Other routers' attempts since the report are unknown, so its weight decreases with its age.
                 let confidence = decay_factor(self.context.now, received_at);
-                confidence * (utilization * worker.memory_tokens + sent_since)
+                confidence * (utilization * worker.kv_cache_tokens + sent_since)
                     + (1.0 - confidence) * extrapolated
             }
             _ => extrapolated,
         };
-        projected_tokens / worker.memory_tokens * self.context.relative_slowness(worker)
+        projected_tokens / worker.kv_cache_tokens * self.context.relative_slowness(worker)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,7 +13,7 @@
 //! | Requests, their phases and attempts | `request` |
 //! | The fleet | `membership`, `topology`, `worker`, `discovery_watch` |
 //! | Health and load of a worker | `outlier`, `load_view`, `slow_start`, `slow_start_bucket` |
-//! | Estimate of the queue at a worker | `load_estimator` |
+//! | Estimates of the load of a worker | `load_estimator` |
 //! | Learned state | `latency_model`, `prefix_table`, `decode_timeouts` |
 //! | Updates of the learned state from outcomes | `feedback` |
 //! | Tenant quotas | `tenant_quotas` |
@@ -108,13 +108,14 @@
 impl Policy {
     /// A policy without workers or requests. The routers of a deployment use different seeds.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // The class of requests whose class is not configured: never retried, and of the lowest priority.
+        // The class of requests whose class is not configured: not idempotent, so never retried once it may
+        // have run, and of the lowest priority.
         settings.classes.push(Class { idempotency: Idempotency::NonIdempotent, ..Class::default() });
         Policy { quotas: TenantQuotas::new(&settings), settings, seed, ..Policy::default() }
     }
 
-    /// Handles one event and appends the resulting actions to `out`. Time is monotonic: a `now` before the
-    /// latest one is replaced by it.
+    /// Handles one event and appends the resulting actions to `out`. Time is monotonic: a `now` earlier than
+    /// that of a previous event counts as that of the previous event.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.slow_start.refill(
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -4,7 +4,7 @@
 //! cached there and the worker is not overloaded. Otherwise it is sent to the worker with the lowest cost
 //! (exploration), computed from the queued tokens, the KV cache evictions and the uncached tokens.
 
-use super::context::{DecisionContext, SIGNIFICANT_SLOWNESS};
+use super::context::{DecisionContext, SLOWNESS_THRESHOLD};
 use super::load_estimator::LoadEstimator;
 use super::worker::Worker;
 use crate::hashing::unit_interval;
@@ -14,7 +14,7 @@
 /// A cache holder is not preferred while its load exceeds this multiple of the mean load (Preble's value).
 const MAX_LOAD_OVER_MEAN: f64 = 2.0;
 
-/// A prefix gets one additional home for each this many prefill workers, because the most popular prefix may
+/// A prefix has one home, and another one per this many prefill workers, because the most popular prefix may
 /// account for a tenth of all requests.
 const PREFILL_WORKERS_PER_HOME: u64 = 60;
 
@@ -53,7 +53,7 @@
     fn add(&mut self, candidate: PrefillCandidate<'a>, is_home: bool) {
         self.count += 1;
         self.total_load += candidate.load;
-        let is_slow = candidate.relative_slowness >= SIGNIFICANT_SLOWNESS;
+        let is_slow = candidate.relative_slowness >= SLOWNESS_THRESHOLD;
         if is_home || is_slow || candidate.worker.activity().is_some() {
             self.distinct.push(candidate);
             return;
@@ -143,8 +143,7 @@
         candidates
     }
 
-    /// Returns the mean queue length reported by the eligible workers, weighted by the confidence in each
-    /// report.
+    /// The mean queue length reported by the eligible workers, weighted by the confidence in each report.
     fn mean_reported_queue(&self) -> f64 {
         let mut tokens = 0.0;
         let mut confidence = 1e-9;
@@ -156,11 +155,10 @@
         tokens / confidence
     }
 
-    /// Returns a worker in slow start that can process the prompt in time, if the prompt is not cached at any
-    /// worker.
+    /// A worker in slow start that can process the prompt in time, if the prompt is not cached at any worker.
     ///
-    /// Eligible workers in slow start hold a permit. Without this preference, a router that is one of
-    /// hundreds would not select such a worker before the permit expires.
+    /// An eligible worker in slow start is one for which this router holds a permit. Without this preference,
+    /// a router that is one of hundreds would not select such a worker before the permit expires.
     fn slow_starting_candidate<'c>(
         &self,
         candidates: &'c Candidates<'a>,
@@ -181,8 +179,8 @@
         slow_starting.min_by_key(|c| c.tie_breaker)
     }
 
-    /// Returns the worker that caches most of the prompt, if enough of the prompt is cached there and its
-    /// load is within [`MAX_LOAD_OVER_MEAN`].
+    /// The worker that caches most of the prompt, if enough of the prompt is cached there and its load is
+    /// within [`MAX_LOAD_OVER_MEAN`].
     fn best_cache_holder<'c>(
         &self,
         candidates: &'c Candidates<'a>,
@@ -204,11 +202,11 @@
         ((saves_enough || is_home(holder)) && is_balanced).then_some(holder)
     }
 
-    /// Returns the worker with the lowest cost for the prompt.
+    /// The worker with the lowest cost for the prompt.
     ///
     /// Reprocessing cached tokens delays every queued prefill. Under load, moving prompts away from their
-    /// cache lengthens the queues that the moves try to avoid, until the caches no longer produce hits.
-    /// The weight of uncached tokens therefore grows with the number of prefills in flight.
+    /// cache lengthens the queues that the moves try to avoid, until the caches no longer produce hits. The
+    /// weight of uncached tokens therefore grows with the number of prefills in flight.
     fn lowest_cost_candidate<'c>(&self, candidates: &'c Candidates<'a>) -> Option<&'c PrefillCandidate<'a>> {
         let in_flight = self.context.requests.in_flight();
         let prefills = in_flight.filter(|attempt| attempt.stage == Stage::Prefill).count();
@@ -226,22 +224,22 @@
     }
 
     /// Estimates the cached tokens that the prefill would evict: the tokens cached at the worker, weighted by
-    /// its memory utilization and by the share of its memory that the prefill needs.
+    /// its KV cache utilization and by the share of its KV cache that the prefill needs.
     fn eviction_cost(&self, candidate: &PrefillCandidate) -> f64 {
         let PrefillCandidate { worker, uncached_tokens, .. } = *candidate;
         let Some(activity) = worker.activity() else { return 0.0 };
         let cached = self.context.prefixes.total_cached_tokens(&worker.id);
-        let utilization = activity.load.memory_utilization().unwrap_or(cached / worker.memory_tokens);
-        let needed = (uncached_tokens / worker.memory_tokens).min(1.0);
+        let utilization = activity.load.kv_cache_utilization().unwrap_or(cached / worker.kv_cache_tokens);
+        let needed = (uncached_tokens / worker.kv_cache_tokens).min(1.0);
         cached * utilization.clamp(0.0, 1.0) * needed
     }
 
-    /// Returns the home of the prompt's prefix, by weighted rendezvous hashing. It is the same at every
-    /// router of a zone. The share of prefixes whose home is in the router's own zone is proportional to that
-    /// zone's share of the prefill capacity.
+    /// The home of the prompt's prefix, by weighted rendezvous hashing. It is the same at every router of a
+    /// zone.
     ///
-    /// In a large fleet a prefix has several homes, so that a popular one does not exceed the capacity of a
-    /// single worker. All requests of a session use the same home.
+    /// The share of prefixes whose home is in the router's own zone is proportional to that zone's share of
+    /// the prefill capacity. In a large fleet a prefix has several homes, so that a popular one does not
+    /// exceed the capacity of a single worker. All requests of a session use the same home.
     fn rendezvous_home(&self) -> Option<&'a Worker> {
         let peak_prefill_workers = self.context.membership.peak_ready()[Role::Prefill as usize] as u64;
         let home_count = 1 + peak_prefill_workers / PREFILL_WORKERS_PER_HOME;
@@ -266,8 +264,8 @@
     }
 }
 
-/// Returns the key for rendezvous hashing: a hash of the shared prefix or else of the session, which is the
-/// same at every router, or else a value specific to the request and this router.
+/// The key for rendezvous hashing: a hash of the shared prefix or, without one, of the session. It is the
+/// same at every router. A request with neither has a key that is specific to it and to this router.
 fn affinity_key(spec: &RequestSpec, seed: u64) -> u64 {
     let shared_name = spec.prefix.as_ref().or(spec.session.as_ref());
     let RequestId(id) = spec.request;
--- a/src/policy/worker.rs
+++ b/src/policy/worker.rs
@@ -25,7 +25,7 @@
 }
 
 impl Distance {
-    /// Returns the next greater distance; [`Distance::Remote`] is the greatest.
+    /// The next greater distance; [`Distance::Remote`] is the greatest.
     pub fn next(self) -> Self {
         match self {
             Distance::SameCell => Distance::SameZone,
@@ -60,14 +60,14 @@
 }
 
 impl WorkerActivity {
-    /// Records a successful answer or a stream that has started.
+    /// Records a successful response, or a response stream that has started.
     pub fn record_success(&mut self, now: Micros) {
         self.outlier.record_success(now);
         self.completions.add(now, 1.0);
     }
 
-    /// Records that the worker rejects requests of this class and tenant. Other requests may still be sent to
-    /// it.
+    /// Records that the worker rejected a request of this class and tenant. It counts as rejecting such
+    /// requests until `until`; other requests may still be sent to it.
     pub fn record_rejection(&mut self, traffic: TrafficKey, until: Micros) {
         self.rejecting_until.insert(traffic, until);
     }
@@ -92,10 +92,10 @@
 /// A worker: its entry in the endpoint list and its measurements.
 ///
 /// A decision iterates over all workers of a role, of which a router in a large fleet has recently used only
-/// a few. The others are *inactive*: they differ only in the fields of this struct, and decisions do not read
-/// their activity.
+/// a few. The others are *inactive*: decisions do not read their activity, so they differ only in the other
+/// fields of this struct.
 pub(super) struct Worker {
-    /// Id of the worker.
+    /// ID of the worker.
     pub id: WorkerId,
     /// Stages that the worker serves.
     pub role: Role,
@@ -103,8 +103,8 @@
     pub location: Location,
     /// Capacity relative to other workers, from the endpoint list.
     pub weight: f64,
-    /// KV cache memory in tokens.
-    pub memory_tokens: f64,
+    /// KV cache capacity in tokens.
+    pub kv_cache_tokens: f64,
     /// Status from the endpoint list.
     pub status: WorkerStatus,
     slowness: MovingAverage,
@@ -114,13 +114,13 @@
 
 impl Worker {
     /// Creates a worker process without measurements. It is not in service until its endpoint is applied.
-    pub fn new(id: WorkerId, role: Role, memory_tokens: f64, slow_start: SlowStartBucket) -> Self {
+    pub fn new(id: WorkerId, role: Role, kv_cache_tokens: f64, slow_start: SlowStartBucket) -> Self {
         Worker {
             id,
             role,
             location: Location::default(),
             weight: 0.0,
-            memory_tokens,
+            kv_cache_tokens,
             status: WorkerStatus::Gone,
             // The prior outweighs a single outlier.
             slowness: MovingAverage::with_prior(1.0, 1.0 / SAMPLE_WEIGHT),
@@ -134,7 +134,6 @@
         self.status == WorkerStatus::Ready
     }
 
-    /// Returns the distance for the transfer of a KV cache from this worker to another one.
     pub fn distance_to(&self, other: &Worker) -> Distance {
         if self.location.cell == other.location.cell {
             Distance::SameCell
@@ -151,17 +150,17 @@
         self.slowness.add(ratio.clamp(min, max));
     }
 
-    /// Returns the moving average of the ratio of elapsed to expected time.
+    /// The moving average of the ratio of elapsed to expected time.
     pub fn slowness(&self) -> f64 {
         self.slowness.value_or(1.0)
     }
 
-    /// Returns the activity that decisions have to consider; `None` while the worker is inactive.
+    /// The activity that decisions have to consider; `None` while the worker is inactive.
     pub fn activity(&self) -> Option<&WorkerActivity> {
         (!self.is_inactive).then_some(&self.activity)
     }
 
-    /// Returns the recorded activity, also of an inactive worker.
+    /// The recorded activity, also of an inactive worker.
     pub fn recorded_activity(&self) -> &WorkerActivity {
         &self.activity
     }
