--- a/crates/fleet-emulator/src/fleet.rs
+++ b/crates/fleet-emulator/src/fleet.rs
@@ -67,7 +67,7 @@
     /// The history to which all components add their records.
     pub history: History,
     /// The number of names under which a worker is listed if it started long ago.
-    names_per_worker: usize,
+    endpoints_per_worker: usize,
     reservations: CacheReservations,
     members: Mutex<Vec<Member>>,
     /// By router, then by worker.
@@ -77,7 +77,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet without workers. Each worker that started long ago is listed under `names_per_worker`
+    /// Starts a fleet without workers. Each worker that started long ago is listed under `endpoints_per_worker`
     /// names. Routers treat these as separate workers, so that a few emulated workers make up a large fleet.
     ///
     /// # Errors
@@ -85,7 +85,7 @@
     pub async fn start(
         network: LoopbackNetwork,
         routers: usize,
-        names_per_worker: usize,
+        endpoints_per_worker: usize,
         history: History,
     ) -> io::Result<Arc<Self>> {
         let mut agents = Vec::new();
@@ -95,7 +95,7 @@
         Ok(Arc::new(Fleet {
             network,
             history,
-            names_per_worker,
+            endpoints_per_worker,
             reservations: CacheReservations::default(),
             members: Mutex::default(),
             links: Mutex::new(vec![Vec::new(); routers]),
@@ -202,7 +202,7 @@
     fn endpoints(&self, router: RouterIndex, worker: WorkerIndex) -> Vec<Endpoint> {
         let primary = self.primary_endpoint(router, worker);
         let health = if primary.started_ms == 0 { primary.health } else { Health::Gone };
-        let additional = (1..self.names_per_worker).map(|number| Endpoint {
+        let additional = (1..self.endpoints_per_worker).map(|number| Endpoint {
             name: format!("{}-{number}", primary.name),
             health,
             started_ms: 0,
