--- a/crates/fault-soak/src/oracle/observations/builder.rs
+++ b/crates/fault-soak/src/oracle/observations/builder.rs
@@ -113,9 +113,9 @@
                     attempt.received = Some(at);
                 }
             }
-            Record::CallCompleted { request, connection, status, had_no_effect, is_complete, .. } => {
-                let (had_no_effect, is_complete) = (*had_no_effect, *is_complete);
-                let response = AttemptResponse { at, status: *status, had_no_effect, is_complete };
+            Record::CallCompleted { request, connection, status, was_not_executed, is_complete, .. } => {
+                let (was_not_executed, is_complete) = (*was_not_executed, *is_complete);
+                let response = AttemptResponse { at, status: *status, was_not_executed, is_complete };
                 if let Some(attempt) = self.attempt(request, *connection) {
                     // Only the first response belongs to the attempt: the connection may carry other calls
                     // later.
--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -92,7 +92,7 @@
     /// The HTTP status code, or 0 if the worker closed the connection instead.
     pub status: u16,
     /// Whether it proves that the request was not executed.
-    pub had_no_effect: bool,
+    pub was_not_executed: bool,
     /// Whether it was complete.
     pub is_complete: bool,
 }
@@ -132,7 +132,7 @@
 
     /// Whether the worker may have executed the request.
     pub fn may_have_been_executed(&self) -> bool {
-        self.received.is_some() && !self.response.as_ref().is_some_and(|response| response.had_no_effect)
+        self.received.is_some() && !self.response.as_ref().is_some_and(|response| response.was_not_executed)
     }
 }
 
--- a/crates/fault-soak/tests/oracle.rs
+++ b/crates/fault-soak/tests/oracle.rs
@@ -75,10 +75,10 @@
         worker: usize,
         connection: u64,
         status: u16,
-        had_no_effect: bool,
+        was_not_executed: bool,
     ) -> &mut Self {
         let (request, is_complete) = ("q".into(), status != 0);
-        self.add(Record::CallCompleted { request, worker, connection, status, had_no_effect, is_complete })
+        self.add(Record::CallCompleted { request, worker, connection, status, was_not_executed, is_complete })
     }
 
     /// A prefill worker processes the prompt and reserves its KV cache.
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -217,7 +217,7 @@
         /// The status of the response; 0 if the response is missing, truncated or malformed.
         status: u16,
         /// Whether the response proves that the request was not executed.
-        had_no_effect: bool,
+        was_not_executed: bool,
         /// Whether the worker sends the response up to its regular end.
         is_complete: bool,
     },
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -186,11 +186,11 @@
         status: u16,
         headers: &str,
         body: &str,
-        had_no_effect: bool,
+        was_not_executed: bool,
     ) -> io::Result<ConnectionUse> {
         let length = body.len();
         let response = format!("HTTP/1.1 {status} x\r\n{headers}content-length: {length}\r\n\r\n{body}");
-        self.record_completion(status, had_no_effect, true);
+        self.record_completion(status, was_not_executed, true);
         self.write(response.as_bytes()).await?;
         Ok(ConnectionUse::Reuse)
     }
@@ -248,13 +248,13 @@
         self.worker.history.add(record);
     }
 
-    fn record_completion(&self, status: u16, had_no_effect: bool, is_complete: bool) {
+    fn record_completion(&self, status: u16, was_not_executed: bool, is_complete: bool) {
         self.record(Record::CallCompleted {
             request: self.request.clone(),
             worker: self.worker.settings.index,
             connection: self.connection,
             status,
-            had_no_effect,
+            was_not_executed,
             is_complete,
         });
     }
