--- a/crates/fault-soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -24,7 +24,7 @@
 struct DiscoveryHistory {
     updates: HashMap<(RouterIndex, WorkerIndex), Vec<Update>>,
     /// The periods in which updates may reach a router late. Each update arrives by the end of its period.
-    disturbances: HashMap<RouterIndex, Vec<RangeInclusive<Timestamp>>>,
+    disruptions: HashMap<RouterIndex, Vec<RangeInclusive<Timestamp>>>,
 }
 
 impl DiscoveryHistory {
@@ -33,8 +33,8 @@
         for entry in &run.entries {
             let at = entry.at;
             match entry.record {
-                Record::DiscoveryDisturbed { router, allowance } => {
-                    discovery.disturbances.entry(router).or_default().push(at..=at + allowance);
+                Record::DiscoveryDisrupted { router, allowance } => {
+                    discovery.disruptions.entry(router).or_default().push(at..=at + allowance);
                 }
                 Record::WorkerWithdrawn { router, worker } => {
                     discovery.add_update(router, worker, Update { at, is_in_service: false });
@@ -64,9 +64,9 @@
         let latest_first = updates.iter().filter(|update| update.at <= at).rev();
         // The first update that withdrew the worker since it was last in service.
         let withdrawn = latest_first.take_while(|update| !update.is_in_service).last()?.at;
-        let disturbances = self.disturbances.get(&router).map_or(&[][..], Vec::as_slice);
-        let overlapping = disturbances.iter().filter(|disturbance| disturbance.contains(&withdrawn));
-        Some(overlapping.map(|disturbance| *disturbance.end()).max().unwrap_or(withdrawn))
+        let disruptions = self.disruptions.get(&router).map_or(&[][..], Vec::as_slice);
+        let overlapping = disruptions.iter().filter(|disruption| disruption.contains(&withdrawn));
+        Some(overlapping.map(|disruption| *disruption.end()).max().unwrap_or(withdrawn))
     }
 }
 
--- a/crates/fault-soak/src/testbed.rs
+++ b/crates/fault-soak/src/testbed.rs
@@ -100,7 +100,7 @@
     pub async fn move_discovery_agent(&self, router: RouterIndex) {
         let moves = self.router_states[router].agent_moves.fetch_add(1, Ordering::Relaxed) + 1;
         let address = self.fleet.network.agent_address(router, moves);
-        self.history().add(Record::DiscoveryDisturbed { router, allowance: MOVED_AGENT_ALLOWANCE });
+        self.history().add(Record::DiscoveryDisrupted { router, allowance: MOVED_AGENT_ALLOWANCE });
         if self.fleet.agent(router).clone().move_to(address).await.is_ok() {
             self.reload_configuration(router);
         }
--- a/crates/fault-soak/tests/oracle.rs
+++ b/crates/fault-soak/tests/oracle.rs
@@ -251,10 +251,10 @@
 
 #[test]
 fn an_attempt_at_a_draining_worker_is_reported_after_the_grace_period() {
-    let violations = |is_disturbed: bool| {
+    let violations = |is_disrupted: bool| {
         let mut history = ScriptedHistory::new();
-        if is_disturbed {
-            history.add(Record::DiscoveryDisturbed { router: 0, allowance: Duration::from_secs(6) });
+        if is_disrupted {
+            history.add(Record::DiscoveryDisrupted { router: 0, allowance: Duration::from_secs(6) });
         }
         history.add(Record::WorkerWithdrawn { router: 0, worker: PREFILL }).after(1_500);
         history
--- a/crates/fleet-emulator/src/agent/mod.rs
+++ b/crates/fleet-emulator/src/agent/mod.rs
@@ -140,7 +140,7 @@
     pub fn stall_watches(&self) {
         let last_connection = *lock(&self.accepted_connections);
         self.history
-            .add(Record::DiscoveryDisturbed { router: self.router, allowance: STALLED_WATCH_ALLOWANCE });
+            .add(Record::DiscoveryDisrupted { router: self.router, allowance: STALLED_WATCH_ALLOWANCE });
         self.state.send_modify(|state| state.stalled_up_to = last_connection);
     }
 
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -274,7 +274,7 @@
         worker: WorkerIndex,
     },
     /// The watches of a discovery agent stalled, or the agent moved, so updates may reach the router late.
-    DiscoveryDisturbed {
+    DiscoveryDisrupted {
         /// The router.
         router: RouterIndex,
         /// The time that the router has, from now on, to learn every earlier change.
