--- a/crates/fault-soak/src/oracle/observations/builder.rs
+++ b/crates/fault-soak/src/oracle/observations/builder.rs
@@ -33,8 +33,8 @@
                 let properties = WorkerProperties { role: *role, zone: *zone, cell: *cell };
                 self.observations.workers.insert(*worker, properties);
             }
-            Record::HarnessDelayed { by } => {
-                self.observations.harness_delays.push(HarnessDelay { ended: at, duration: *by });
+            Record::HarnessDelayed { duration } => {
+                self.observations.harness_delays.push(HarnessDelay { ended: at, duration: *duration });
             }
             Record::RequestStarted { .. } => self.add_transmission(at, record),
             Record::CallStarted { .. } | Record::CallReceived { .. } | Record::CallCompleted { .. } => {
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -27,9 +27,9 @@
             writeln!(report, "  {from:>6} to {until:>6} ms  {}: {:?}", planned.fault.name(), planned.fault);
     }
     for entry in entries {
-        if let Record::HarnessDelayed { by } = entry.record {
+        if let Record::HarnessDelayed { duration } = entry.record {
             let at = milliseconds_since(start, entry.at);
-            let _ = writeln!(report, "  {at:>6} ms  the harness was delayed by {} ms", by.as_millis());
+            let _ = writeln!(report, "  {at:>6} ms  the harness was delayed by {} ms", duration.as_millis());
         }
     }
     let mut by_invariant: BTreeMap<Invariant, Vec<&Violation>> = BTreeMap::new();
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -147,9 +147,9 @@
     loop {
         let due = clock::now() + DELAY_PROBE_INTERVAL;
         tokio::time::sleep(DELAY_PROBE_INTERVAL).await;
-        let by = clock::now().since(due);
-        if by > MIN_RECORDED_DELAY {
-            testbed.history().add(Record::HarnessDelayed { by });
+        let duration = clock::now().since(due);
+        if duration > MIN_RECORDED_DELAY {
+            testbed.history().add(Record::HarnessDelayed { duration });
         }
     }
 }
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -335,7 +335,7 @@
     /// The test harness was delayed, so timestamps recorded during the delay may be late.
     HarnessDelayed {
         /// The length of the delay.
-        by: Duration,
+        duration: Duration,
     },
 }
 
