--- a/crates/fault-plan/src/lib.rs
+++ b/crates/fault-plan/src/lib.rs
@@ -27,8 +27,8 @@
 /// The word with the injection count of the first fault. The words of the other faults follow.
 const FIRST_COUNT_WORD: usize = 32;
 
-/// The flag that marks the word of a fault as a period: the fault is injected into every n-th call. Without
-/// the flag, the word is a probability.
+/// The flag that marks the word of a fault as a period n: the fault is injected into every n-th call. Without
+/// the flag, the word is a probability in units of 1 / [`PROBABILITY_SCALE`].
 pub const PERIOD_FLAG: u64 = 1 << 63;
 
 /// A fault that the shim can inject into system calls. The discriminant determines the words of the fault in
@@ -55,7 +55,7 @@
     WriteInterrupted,
     /// `poll` fails with EINTR.
     PollInterrupted,
-    /// A read of a socket returns only a part of the available bytes.
+    /// A read of a socket returns only a part of the available bytes. A peek is not shortened.
     ShortRead,
     /// A write to a socket transfers only a part of its bytes.
     ShortWrite,
@@ -137,15 +137,15 @@
         self.write_word(fault.probability_word(), word)
     }
 
-    /// Sets the offset of the process's wall clock in microseconds.
+    /// Sets the offset of the process's wall clock from the system's.
     ///
     /// # Errors
     /// Returns an error if the file can't be written.
-    pub fn set_wall_clock_offset(&self, microseconds: i64) -> io::Result<()> {
-        self.write_word(WALL_CLOCK_WORD, microseconds as u64)
+    pub fn set_wall_clock_offset(&self, offset_us: i64) -> io::Result<()> {
+        self.write_word(WALL_CLOCK_WORD, offset_us as u64)
     }
 
-    /// The number of times that the shim has injected a fault.
+    /// The number of times that the shim has decided to inject a fault.
     ///
     /// # Errors
     /// Returns an error if the file can't be read.
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -73,7 +73,7 @@
     true
 }
 
-/// The offset of the wall clock in microseconds.
+/// The offset of the process's wall clock in microseconds, or 0 without a control block.
 pub fn wall_clock_offset_us() -> i64 {
     BLOCK.get().map_or(0, |block| block[WALL_CLOCK_WORD].load(Ordering::Relaxed) as i64)
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -3,7 +3,8 @@
 //!
 //! The control block of [`fault_plan`] selects the faults. The environment variable
 //! [`fault_plan::CONTROL_FILE_VARIABLE`] holds its path. Without a control block, the library only forwards
-//! calls. Faults affect only IPv4 and IPv6 sockets, regular files and standard error.
+//! calls. Of all descriptors, faults affect only IPv4 and IPv6 sockets, regular files and standard error. A
+//! `poll` may be interrupted whatever it waits for.
 
 mod control;
 mod real;
@@ -24,12 +25,13 @@
     -1
 }
 
-/// The error number of the first listed fault that is injected into the current call.
+/// The error number of the first listed fault that is injected into the current call. The fault is counted
+/// even if the caller then skips it because the descriptor is not an IPv4 or IPv6 socket.
 fn first_failure(faults: &[(SystemCallFault, c_int)]) -> Option<c_int> {
     faults.iter().find(|(fault, _)| should_inject(*fault)).map(|(_, errno)| *errno)
 }
 
-/// Whether a descriptor is a TCP or UDP socket over IPv4 or IPv6.
+/// Whether a descriptor is an IPv4 or IPv6 socket.
 fn is_internet_socket(fd: c_int) -> bool {
     let (mut domain, mut length): (c_int, socklen_t) = (0, size_of::<c_int>() as socklen_t);
     // SAFETY: both pointers are to live locals of the sizes that the option requires.
--- a/crates/fault-soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -10,25 +10,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The number of zones over which routers and cells are distributed.
+/// The number of zones over which routers and cells are distributed evenly.
 const ZONE_COUNT: u64 = 2;
 /// The number of cells over which workers are distributed.
 const CELL_COUNT: u64 = 4;
 
 /// The latency objective for the first token of a request.
 const FIRST_TOKEN_OBJECTIVE: Duration = Duration::from_secs(1);
-/// The time after which clients abandon a request.
+/// The time after which clients abandon a request, as the routers' configuration states it.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The upper bound on the client deadline that the shutdown timeout covers.
+/// The longest time to a client's deadline that the shutdown timeout covers. A longer one counts as this.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// The time that the shutdown timeout adds to that deadline.
+/// The time that the shutdown timeout adds to the longest time to a client's deadline.
 const SHUTDOWN_ALLOWANCE: Duration = Duration::from_millis(700);
 
 /// A request class.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
-    /// The name of the class.
+    /// The name of the class in the settings of routers and in requests.
     pub name: &'static str,
     /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
@@ -54,7 +54,7 @@
     pub decode_worker_count: usize,
     /// The request rate at each router, in requests per second.
     pub request_rate: f64,
-    /// The connect timeout of routers.
+    /// The timeout of routers for establishing a connection to a worker.
     pub connect_timeout: Duration,
     /// The time within which a reserved KV cache has to be released if no attempt waits for it.
     pub release_timeout: Duration,
@@ -68,7 +68,7 @@
     pub slow_start_floor: f64,
     /// The multiple of its capacity at which a cold worker is overloaded.
     pub overload_multiple: f64,
-    /// The period over which that load is measured.
+    /// The period over which the load of a cold worker is compared with its capacity.
     pub overload_window: Duration,
     /// Whether routers may cancel attempts.
     pub cancellation_allowed: bool,
@@ -76,14 +76,14 @@
     pub max_descriptors: usize,
     /// The maximum memory usage of a router, in megabytes.
     pub max_memory_mb: usize,
-    /// The variation of the run.
+    /// The variation of the run, which depends on the seed but not on random draws.
     pub scenario: Scenario,
 }
 
 impl Deployment {
     /// The maximum number of attempts per request.
     pub const MAX_ATTEMPTS: usize = 6;
-    /// The time after the deadline during which a response is still in time.
+    /// The time after the deadline during which routers count a response as in time.
     pub const RESPONSE_SLACK: Duration = Duration::from_millis(16);
 
     /// Draws a deployment with the given number of routers.
@@ -108,12 +108,12 @@
         }
     }
 
-    /// The minimum time between SIGTERM and SIGKILL.
+    /// The minimum time between SIGTERM and the SIGKILL of a router that has not exited.
     pub fn shutdown_timeout(&self) -> Duration {
         self.scenario.max_deadline.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_ALLOWANCE
     }
 
-    /// The settings of a worker.
+    /// The settings of a worker. Its cell and zone depend on its position in the fleet.
     pub fn worker_settings(&self, index: WorkerIndex, role: Role) -> WorkerSettings {
         let cell = index as u64 % CELL_COUNT;
         WorkerSettings {
--- a/crates/fault-soak/src/faults/clients.rs
+++ b/crates/fault-soak/src/faults/clients.rs
@@ -10,7 +10,8 @@
 
 /// The number of idle connections that the fault opens at once.
 const IDLE_CONNECTIONS: usize = 300;
-/// The number of idle connections that a flood opens per interval. Routers close them after some seconds.
+/// The number of idle connections that a flood opens per interval. Routers close them after some seconds, so
+/// a flood keeps opening new ones.
 const FLOOD_CONNECTIONS: usize = 100;
 /// The interval at which a flood opens new connections.
 const FLOOD_INTERVAL: Duration = Duration::from_millis(700);
@@ -23,7 +24,7 @@
         /// The routers to which they connect.
         routers: Vec<RouterIndex>,
     },
-    /// Hundreds of clients connect and send nothing.
+    /// Hundreds of clients connect to each router and send nothing.
     IdleConnections {
         /// The routers to which they connect.
         routers: Vec<RouterIndex>,
@@ -93,8 +94,8 @@
     while tokio::time::Instant::now() < until {
         let choice = rand::rng().random_range(0..ClientMisbehaviour::ALL.len());
         spawn_misbehaving_client(&testbed, router, ClientMisbehaviour::ALL[choice]);
-        let pause = rand::rng().random_range(10..150);
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        let pause_ms = rand::rng().random_range(10..150);
+        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 }
 
--- a/crates/fault-soak/src/faults/discovery.rs
+++ b/crates/fault-soak/src/faults/discovery.rs
@@ -19,11 +19,11 @@
 pub enum DiscoveryFaultKind {
     /// The agent moves to another address, and its router reloads a configuration with the new address.
     Move,
-    /// The agent neither sends nor receives updates.
+    /// The agent sends no data, and receives no updates until the outage ends.
     Outage,
-    /// Open watches stall.
+    /// Open watches stall: their connections stay open without data.
     StallWatches,
-    /// Open watches are reset.
+    /// The connections of open watches are closed.
     ResetWatches,
     /// The agent responds late.
     Delay,
--- a/crates/fault-soak/src/faults/links.rs
+++ b/crates/fault-soak/src/faults/links.rs
@@ -37,7 +37,7 @@
     Fragmentation,
     /// Idle connections are closed.
     IdleClose,
-    /// Idle connections are dropped silently: the next request gets a reset.
+    /// Idle connections are dropped silently: the next request on one is answered with a reset.
     IdleDrop,
 }
 
--- a/crates/fault-soak/src/faults/plan.rs
+++ b/crates/fault-soak/src/faults/plan.rs
@@ -54,7 +54,8 @@
     plan
 }
 
-/// Draws a fault and its targets in a fleet of the given size.
+/// Draws a fault and its targets in a fleet of the given size. A fault with two numbers is drawn twice as
+/// often.
 fn draw_fault(random: &mut StdRng, router_count: usize, worker_count: usize) -> Fault {
     let routers = draw_subset(random, router_count, MAX_ROUTER_SHARE);
     let workers = draw_subset(random, worker_count, MAX_WORKER_SHARE);
--- a/crates/fault-soak/src/faults/routers.rs
+++ b/crates/fault-soak/src/faults/routers.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time within which a killed process exits.
+/// The time for which the harness waits for the exit of a process after SIGKILL.
 const KILL_TIMEOUT: Duration = Duration::from_secs(4);
 /// The maximum number of additional signals before SIGTERM, and also after it.
 const MAX_ADDITIONAL_SIGNALS: usize = 2;
@@ -126,8 +126,8 @@
     }
 }
 
-fn set_wall_clock_offset(testbed: &Testbed, router: RouterIndex, microseconds: i64) {
-    let _ = testbed.routers[router].control.set_wall_clock_offset(microseconds);
+fn set_wall_clock_offset(testbed: &Testbed, router: RouterIndex, offset_us: i64) {
+    let _ = testbed.routers[router].control.set_wall_clock_offset(offset_us);
 }
 
 fn set_system_call_faults(
@@ -147,7 +147,7 @@
     let process = &testbed.routers[router];
     send_additional_signals(&testbed, router, &[RouterSignal::Reload]).await;
     process.signal(RouterSignal::Terminate);
-    let terminated = clock::now();
+    let terminated_at = clock::now();
     tokio::spawn({
         let testbed = testbed.clone();
         async move {
@@ -156,7 +156,7 @@
     });
     tokio::time::sleep(LOAD_BALANCER_DELAY).await;
     testbed.load.set_in_rotation(router, false);
-    let kill_at = terminated + testbed.deployment.shutdown_timeout();
+    let kill_at = terminated_at + testbed.deployment.shutdown_timeout();
     if !process.exits_within(kill_at.since(clock::now())).await {
         process.signal(RouterSignal::Kill);
         let _ = process.exits_within(KILL_TIMEOUT).await;
@@ -180,8 +180,8 @@
     testbed.load.set_in_rotation(router, false);
     testbed.routers[router].signal(RouterSignal::Kill);
     let _ = testbed.routers[router].exits_within(KILL_TIMEOUT).await;
-    let pause = rand::rng().random_range(100..1_500);
-    tokio::time::sleep(Duration::from_millis(pause)).await;
+    let pause_ms = rand::rng().random_range(100..1_500);
+    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     restart.start_process().await;
 }
 
@@ -189,11 +189,11 @@
 async fn suspend_repeatedly(testbed: Arc<Testbed>, router: RouterIndex, duration: Duration) {
     let until = tokio::time::Instant::now() + duration;
     while tokio::time::Instant::now() < until {
-        let suspended = rand::rng().random_range(20..150);
+        let suspended_ms = rand::rng().random_range(20..150);
         testbed.routers[router].signal(RouterSignal::Suspend);
-        tokio::time::sleep(Duration::from_millis(suspended)).await;
+        tokio::time::sleep(Duration::from_millis(suspended_ms)).await;
         testbed.routers[router].signal(RouterSignal::Resume);
-        let pause = rand::rng().random_range(50..500);
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        let pause_ms = rand::rng().random_range(50..500);
+        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 }
--- a/crates/fault-soak/src/faults/workers.rs
+++ b/crates/fault-soak/src/faults/workers.rs
@@ -28,9 +28,9 @@
     Crash,
     /// The worker drains, and a cold one replaces it.
     Replace,
-    /// The process hangs like a suspended one.
+    /// The process is frozen, as by SIGSTOP.
     Freeze,
-    /// The worker responds incorrectly or slowly.
+    /// The worker responds incorrectly, slowly or not at all.
     Misbehave(WorkerMisbehaviour),
 }
 
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -15,7 +15,7 @@
 pub const DEFAULT_DISCONNECT_SHARE: f64 = 0.06;
 /// The maximum number of requests that a client sends until one succeeds.
 const MAX_CLIENT_ATTEMPTS: u32 = 3;
-/// The pause before a client retries a failed idempotent request.
+/// The pause before a client retries a failed idempotent request. Other failed requests are not retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// The share of clients that honour `Retry-After`; the others retry at once.
 const RETRY_AFTER_SHARE: f64 = 0.5;
@@ -23,8 +23,8 @@
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_secs(1);
 /// The share of requests with a timeout that is too short for most responses.
 const SHORT_TIMEOUT_SHARE: f64 = 0.03;
-/// The minimum deadline of the other requests, as a share of the maximum.
-const MIN_DEADLINE_SHARE: f64 = 0.3;
+/// The minimum timeout of the other requests, as a share of the maximum.
+const MIN_TIMEOUT_SHARE: f64 = 0.3;
 /// The share of requests whose prompts share a prefix with those of other requests.
 const SHARED_PREFIX_SHARE: f64 = 0.6;
 /// The length of a shared prefix in tokens.
@@ -100,6 +100,7 @@
     pub async fn run(self: Arc<Self>, router: RouterIndex) {
         while !self.is_finished() {
             let rate = self.rate * self.profile().rate_multiplier;
+            // The lower bound avoids the logarithm of zero, which would be an infinite pause.
             let pause = -rand::rng().random::<f64>().max(1e-9).ln() / rate;
             tokio::time::sleep(Duration::from_secs_f64(pause)).await;
             tokio::spawn(self.clone().run_client(router));
@@ -159,7 +160,7 @@
     let first_token_timeout = if random.random_bool(SHORT_TIMEOUT_SHARE) {
         random.random_range(Duration::from_millis(5)..Duration::from_millis(80))
     } else {
-        random.random_range(max_deadline.mul_f64(MIN_DEADLINE_SHARE)..max_deadline)
+        random.random_range(max_deadline.mul_f64(MIN_TIMEOUT_SHARE)..max_deadline)
     };
     let shared_prefix = random.random_bool(SHARED_PREFIX_SHARE).then(|| SharedPrefix {
         key: format!("p{}", random.random_range(0..12)),
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -67,7 +67,8 @@
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Runs one seed, writes its report and returns the number of violations that are not ignored.
+/// Runs one seed and writes its report. Returns the number of violations, without the doubtful ones if these
+/// are allowed.
 async fn run_seed(arguments: &Arguments, seed: u64) -> Result<usize, SoakError> {
     let directory = std::env::temp_dir().join(format!("fault-soak-{}-{seed}", std::process::id()));
     create_directory(&directory)?;
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -79,7 +79,7 @@
     )
 }
 
-/// The number of violations of one invariant.
+/// The number of violations of one invariant, and how many of them a delay of the harness may explain.
 #[derive(Default)]
 struct ViolationCount {
     total: usize,
--- a/crates/fault-soak/src/router/log.rs
+++ b/crates/fault-soak/src/router/log.rs
@@ -9,9 +9,9 @@
 use tokio::process::ChildStderr;
 use tokio::sync::watch;
 
-/// The maximum number of lines that are stored for one router.
+/// The maximum number of lines that are stored for one router. Later lines are only searched for errors.
 const MAX_LINES: usize = 400_000;
-/// Texts in log lines that report a panic, or an invariant violation that the router detected itself.
+/// Texts in log lines that report an invariant violation that the router detected itself, or a panic.
 const ERROR_PATTERNS: [&str; 2] = ["violation:", "panicked"];
 
 /// A log line.
--- a/crates/fault-soak/src/router/mod.rs
+++ b/crates/fault-soak/src/router/mod.rs
@@ -22,7 +22,7 @@
 use tokio::process::Command;
 use tokio::sync::watch;
 
-/// The interval at which the readiness of a starting router is polled.
+/// The pause between two readiness polls of a starting router.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The timeout of one readiness poll.
 const READINESS_POLL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -41,15 +41,15 @@
 /// One router of the fleet. Its process may be restarted many times.
 #[derive(Debug)]
 pub struct Router {
-    /// The index of the router in the fleet.
+    /// The position of the router in the fleet.
     pub index: RouterIndex,
     /// The address to which clients connect.
     pub address: SocketAddr,
-    /// The path of the configuration file.
+    /// The path of the configuration file, which the process reads at its start and on SIGHUP.
     pub configuration: PathBuf,
-    /// The control block of the fault shim.
+    /// The control block by which faults are injected into the system calls of the process.
     pub control: ControlBlock,
-    /// The log of all processes of the router.
+    /// The log of all processes that the router has had.
     pub log: Log,
     control_file: PathBuf,
     programs: Programs,
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -17,17 +17,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time from the last fault until service has to be back to normal.
+/// The time from the end of the fault period until the success rate has to be back to normal.
 pub const RECOVERY_TIME: Duration = Duration::from_secs(6);
-/// The length of the observation window after the recovery.
+/// The length of the observation window after the recovery period.
 pub const OBSERVATION_TIME: Duration = Duration::from_secs(4);
 /// The time after the last request by which every client has received its response or timed out.
 const SETTLE_TIME: Duration = Duration::from_millis(8_500);
 /// The interval at which the resource usage of router processes is sampled.
 const RESOURCE_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// The interval of the timer that measures the delay of the test harness.
+/// The interval of the timer by which the test harness measures its own delay.
 const DELAY_PROBE_INTERVAL: Duration = Duration::from_millis(5);
-/// The minimum delay of the test harness that is recorded.
+/// Shorter delays of the test harness are not recorded.
 const MIN_RECORDED_DELAY: Duration = Duration::from_millis(30);
 /// The timeout for the graceful shutdown of the routers at the end of a run.
 const FINAL_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(4);
@@ -45,9 +45,9 @@
     pub is_fault_free: bool,
     /// If not empty, only faults whose names contain one of these texts are injected.
     pub only: Vec<String>,
-    /// The programs under test.
+    /// The router program and the fault shim.
     pub programs: Programs,
-    /// The directory for the files of the routers.
+    /// The directory for the configuration and control files of the routers.
     pub directory: PathBuf,
 }
 
@@ -55,11 +55,11 @@
 pub struct FinishedRun {
     /// The seed of the run.
     pub seed: u64,
-    /// The test bed, with its history and the logs of the routers.
+    /// The testbed, with its history and the logs of the routers.
     pub testbed: Arc<Testbed>,
-    /// The injected faults.
+    /// The faults that were injected, in the order of their start.
     pub plan: Vec<PlannedFault>,
-    /// The period after the recovery in which service has to be back to normal.
+    /// The period in which the success rate has to be back to normal.
     pub observation_window: Range<Timestamp>,
 }
 
--- a/crates/fault-soak/src/scenario.rs
+++ b/crates/fault-soak/src/scenario.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-/// The interval between seeds with a large fleet.
+/// One seed in this many has a large fleet.
 const LARGE_FLEET_INTERVAL: u64 = 3;
-/// The interval between seeds with short deadlines.
+/// One seed in this many has short deadlines.
 const SHORT_DEADLINES_INTERVAL: u64 = 4;
-/// The interval between seeds with a flood of idle connections.
+/// One seed in this many has a flood of idle connections.
 const IDLE_CONNECTION_FLOOD_INTERVAL: u64 = 5;
 
-/// The number of endpoints per worker in a large fleet, which has about 3,000 endpoints.
+/// The number of endpoints per worker in a large fleet, which has about 3,000 endpoints in all.
 const LARGE_FLEET_ENDPOINTS_PER_WORKER: usize = 300;
 
-/// The maximum deadline of client requests.
+/// The maximum time from a client's request to its deadline.
 const DEFAULT_MAX_DEADLINE: Duration = Duration::from_secs(4);
-/// The maximum deadline in runs with short deadlines.
+/// The maximum time from a client's request to its deadline in runs with short deadlines.
 const SHORT_MAX_DEADLINE: Duration = Duration::from_secs(1);
 
 /// The variation of a run. It is computed from the seed without random draws, so that the deployment and
 /// the faults that are drawn for the seed stay comparable with earlier versions.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// The number of endpoints under which discovery lists each worker.
+    /// The number of endpoints that discovery lists for each worker.
     pub endpoints_per_worker: usize,
-    /// The maximum deadline of client requests.
+    /// The maximum time from a client's request to its deadline for the first token.
     pub max_deadline: Duration,
     /// Whether idle connections occupy the file descriptors of the routers during the whole run.
     pub has_idle_connection_flood: bool,
--- a/crates/fault-soak/src/testbed.rs
+++ b/crates/fault-soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The test bed of a run: the emulated fleet, the router processes and the load.
+//! The testbed of a run: the emulated fleet, the router processes and the load.
 
 use crate::deployment::{Deployment, RouterAddresses};
 use crate::error::SoakError;
@@ -23,13 +23,13 @@
 
 /// The components of a run.
 pub struct Testbed {
-    /// The size and the settings of the fleet.
+    /// The size of the fleet and the settings of its routers.
     pub deployment: Deployment,
     /// The emulated workers, links and discovery agents.
     pub fleet: Arc<Fleet>,
-    /// The router processes.
+    /// The routers under test, by their positions in the fleet.
     pub routers: Vec<Router>,
-    /// The regular clients.
+    /// The regular clients of all routers.
     pub load: Arc<Load>,
     router_states: Vec<RouterState>,
 }
@@ -88,8 +88,8 @@
         Ok(())
     }
 
-    /// Begins to replace the process of a router. Returns `None` if no process runs or it is being replaced
-    /// already.
+    /// Begins to replace the process of a router. Returns `None` if no process runs, or if the process is
+    /// being replaced already.
     pub fn try_begin_restart(&self, router: RouterIndex) -> Option<RestartGuard<'_>> {
         let is_restarting = &self.router_states[router].is_restarting;
         let may_begin = self.routers[router].is_running() && !is_restarting.swap(true, Ordering::Relaxed);
