--- a/crates/fault-soak/src/faults/discovery.rs
+++ b/crates/fault-soak/src/faults/discovery.rs
@@ -10,7 +10,7 @@
 pub struct DiscoveryFault {
     /// The routers whose agents are affected.
     pub routers: Vec<RouterIndex>,
-    /// The kind of fault.
+    /// What happens to the agents of these routers.
     pub kind: DiscoveryFaultKind,
 }
 
--- a/crates/fault-soak/src/faults/links.rs
+++ b/crates/fault-soak/src/faults/links.rs
@@ -10,7 +10,7 @@
 pub struct LinkFault {
     /// The workers whose links are affected.
     pub workers: Vec<WorkerIndex>,
-    /// The kind of fault.
+    /// What happens to the links to these workers.
     pub kind: LinkFaultKind,
 }
 
--- a/crates/fault-soak/src/faults/plan.rs
+++ b/crates/fault-soak/src/faults/plan.rs
@@ -33,9 +33,9 @@
 pub struct PlannedFault {
     /// When the fault is injected.
     pub from: Duration,
-    /// When it is reverted.
+    /// When the fault is reverted, unless its injection takes time and delays that.
     pub until: Duration,
-    /// The fault.
+    /// The fault and its targets.
     pub fault: Fault,
 }
 
--- a/crates/fault-soak/src/faults/routers.rs
+++ b/crates/fault-soak/src/faults/routers.rs
@@ -35,9 +35,9 @@
 /// A fault of some router processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterFault {
-    /// The affected routers.
+    /// The routers whose processes are affected.
     pub routers: Vec<RouterIndex>,
-    /// The kind of fault.
+    /// What happens to the processes of these routers.
     pub kind: RouterFaultKind,
 }
 
@@ -59,9 +59,9 @@
     },
     /// System calls of the process fail.
     FailSystemCalls {
-        /// The faults to inject.
+        /// The system call faults that are injected together.
         faults: Vec<SystemCallFault>,
-        /// The probability that a call fails.
+        /// The probability of each fault per call, from 0 to 1.
         probability: f64,
     },
     /// The pipe to which the process writes its log is not read.
--- a/crates/fault-soak/src/faults/workers.rs
+++ b/crates/fault-soak/src/faults/workers.rs
@@ -15,9 +15,9 @@
 /// A fault of some workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerFault {
-    /// The affected workers.
+    /// The workers whose processes are affected.
     pub workers: Vec<WorkerIndex>,
-    /// The kind of fault.
+    /// What happens to these workers.
     pub kind: WorkerFaultKind,
 }
 
--- a/crates/fault-soak/src/oracle/attempts.rs
+++ b/crates/fault-soak/src/oracle/attempts.rs
@@ -8,7 +8,7 @@
 use fleet_emulator::record::{DeduplicationScope, Idempotency, Role};
 use std::time::Duration;
 
-/// The time after a client's disconnection during which an attempt may still start.
+/// The time after a client's disconnect during which an attempt may still start.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
 /// The time by which a propagated timeout may exceed the client's remaining time.
 const PROPAGATION_SLACK: Duration = Duration::from_millis(150);
@@ -32,14 +32,14 @@
     let started = attempt.started;
     let is_after_disconnect = |at: &Timestamp| started > *at + DISCONNECT_GRACE + OBSERVATION_TOLERANCE;
     if let Some(disconnected) = request.client_disconnected.filter(is_after_disconnect) {
-        let elapsed = started.since(disconnected).as_millis();
-        let detail = format!("attempt started {elapsed} ms after the client disconnected");
+        let (elapsed, limit) = (started.since(disconnected).as_millis(), DISCONNECT_GRACE.as_millis());
+        let detail = format!("attempt started {elapsed} ms after the client disconnected, limit {limit} ms");
         findings.add_for(request, Invariant::NoAttemptAfterDisconnect, started, attempt.router, detail);
     }
     let responded = request.response.as_ref().map(|response| response.at);
     if let Some(responded) = responded.filter(|at| started > *at + OBSERVATION_TOLERANCE) {
         let elapsed = started.since(responded).as_millis();
-        let detail = format!("attempt started {elapsed} ms after the response");
+        let detail = format!("attempt started {elapsed} ms after the response, none may start after it");
         findings.add_for(request, Invariant::NoAttemptAfterResponse, started, attempt.router, detail);
     }
 }
@@ -48,8 +48,11 @@
     let (Some(propagated), Some(sent)) = (attempt.propagated_timeout, request.sent()) else { return };
     let remaining = sent.deadline().since(attempt.started);
     if propagated > remaining + PROPAGATION_SLACK + OBSERVATION_TOLERANCE {
+        let limit = (remaining + PROPAGATION_SLACK).as_millis();
         let (propagated, remaining) = (propagated.as_millis(), remaining.as_millis());
-        let detail = format!("propagated a timeout of {propagated} ms with {remaining} ms remaining");
+        let detail = format!(
+            "propagated a timeout of {propagated} ms with {remaining} ms remaining, limit {limit} ms"
+        );
         findings.add_for(request, Invariant::DeadlinePropagated, attempt.started, attempt.router, detail);
     }
 }
@@ -72,7 +75,7 @@
         let earlier = request.attempts[..index].iter().find(is_in_flight);
         if let Some(earlier) = earlier {
             let detail = format!(
-                "attempt at worker {} while another was in flight at worker {}",
+                "attempt at worker {} while another was in flight at worker {}, limit one",
                 later.worker, earlier.worker
             );
             findings.add_for(request, Invariant::SingleAttemptInFlight, received, later.router, detail);
@@ -99,7 +102,8 @@
         let Some(received) = later.received else { continue };
         if !is_repetition_allowed(run, deployment, request.idempotency, first, later, received) {
             let detail = format!(
-                "{:?}: attempt at worker {} {} ms after one at worker {} that may have been executed",
+                "{:?}: repeated at worker {}, which is not allowed {} ms after an attempt at worker {} \
+                 that may have been executed",
                 request.idempotency,
                 later.worker,
                 received.since(first.started).as_millis(),
@@ -143,15 +147,15 @@
     }
 }
 
-/// Checks that a request that may have been executed is not rejected, because clients retry rejected
-/// requests.
+/// Checks that a request that may have been executed is not rejected unless a repetition is safe anywhere,
+/// because clients retry rejected requests.
 fn check_rejection(findings: &mut Findings<'_>, request: &Request) {
     let is_safe_to_retry =
         matches!(request.idempotency, Idempotency::Idempotent | Idempotency::Keyed(DeduplicationScope::All));
     let rejection = request.response.as_ref().filter(|response| response.is_rejection());
     if let Some(rejection) = rejection.filter(|_| !is_safe_to_retry) {
         let detail =
-            format!("{:?}: rejected after an attempt that may have been executed", request.idempotency);
+            format!("{:?}: rejected, although an attempt may have been executed", request.idempotency);
         findings.add_for(request, Invariant::RejectionSafeToRetry, rejection.at, request.router, detail);
     }
 }
--- a/crates/fault-soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -1,4 +1,4 @@
-//! Checks that draining and removed workers get no new calls.
+//! Checks that workers that are draining or gone get no new calls.
 
 use super::OBSERVATION_TOLERANCE;
 use super::observations::Observations;
@@ -10,7 +10,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The time by which an attempt may exceed the configured grace period.
+/// The time by which the start of an attempt may exceed the configured grace period.
 const DRAIN_SLACK: Duration = Duration::from_millis(50);
 
 /// An endpoint update about a worker, as received by the discovery agent of a router.
@@ -19,11 +19,13 @@
     is_in_service: bool,
 }
 
-/// The endpoint updates of all discovery agents.
+/// The endpoint updates that all discovery agents received, and the disruptions of the agents.
 #[derive(Default)]
 struct DiscoveryHistory {
+    /// The updates about each worker, in the order in which the agent of a router received them.
     updates: HashMap<(RouterIndex, WorkerIndex), Vec<Update>>,
-    /// The periods in which updates may reach a router late. Each update arrives by the end of its period.
+    /// The periods in which updates may reach a router late. The router has to know of an update in such a
+    /// period by the end of the period.
     disruptions: HashMap<RouterIndex, Vec<RangeInclusive<Timestamp>>>,
 }
 
@@ -80,9 +82,10 @@
             let late_by = attempt.started.since(known_by);
             if late_by > deployment.drain_grace + DRAIN_SLACK + OBSERVATION_TOLERANCE {
                 let detail = format!(
-                    "attempt at worker {} {} ms after its withdrawal was known",
+                    "attempt at worker {} {} ms after its withdrawal was known, limit {} ms",
                     attempt.worker,
-                    late_by.as_millis()
+                    late_by.as_millis(),
+                    deployment.drain_grace.as_millis()
                 );
                 findings.add_for(request, Invariant::DrainRespected, attempt.started, attempt.router, detail);
             }
--- a/crates/fault-soak/src/oracle/misbehaving_clients.rs
+++ b/crates/fault-soak/src/oracle/misbehaving_clients.rs
@@ -9,7 +9,7 @@
 
 /// The time within which a router has to reject a misbehaving client.
 const REJECTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// The time by which a rejection may exceed that limit.
+/// The time by which a rejection may exceed [`REJECTION_TIMEOUT`].
 const REJECTION_SLACK: Duration = Duration::from_millis(100);
 
 /// A misbehaving client that is connected to a router.
@@ -32,9 +32,12 @@
                 let Some(client) = clients.remove(&number) else { continue };
                 let elapsed = entry.at.since(client.connected_at);
                 if !was_rejected || elapsed > REJECTION_TIMEOUT + REJECTION_SLACK {
-                    let (misbehaviour, elapsed) = (client.misbehaviour, elapsed.as_millis());
-                    let detail =
-                        format!("{misbehaviour}: ended after {elapsed} ms (rejected: {was_rejected})");
+                    let detail = format!(
+                        "{}: ended after {} ms (rejected: {was_rejected}), expected a rejection within {} ms",
+                        client.misbehaviour,
+                        elapsed.as_millis(),
+                        REJECTION_TIMEOUT.as_millis()
+                    );
                     findings.add(Invariant::MisbehavingClientsRejected, entry.at, client.router, detail);
                 }
             }
--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -34,7 +34,7 @@
 pub struct ConnectionFailure {
     /// When the connection failed.
     pub at: Timestamp,
-    /// The kind of failure.
+    /// Whether the router closed or reset the connection, or it could not be opened.
     pub kind: ConnectionEnd,
 }
 
@@ -74,9 +74,9 @@
 /// The end of the response that a client received.
 #[derive(Clone, Debug)]
 pub struct ResponseEnd {
-    /// When it arrived.
+    /// When the last byte arrived, or when the client found the response truncated.
     pub at: Timestamp,
-    /// Whether the response was complete.
+    /// Whether the response reached its regular end.
     pub is_complete: bool,
     /// Whether the events are exactly those of one worker, in order.
     pub is_intact: bool,
@@ -87,13 +87,15 @@
 /// A worker's response to an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResponse {
-    /// When the worker handed it to the network.
+    /// When the worker finished the call: before it wrote the response or the end of the stream, or when it
+    /// abandoned the call.
     pub at: Timestamp,
-    /// The HTTP status code, or 0 if the worker closed the connection instead.
+    /// The HTTP status code, or 0 if the response is missing, truncated or malformed.
     pub status: u16,
-    /// Whether it proves that the request was not executed.
+    /// Whether it proves that the request was not executed, or belongs to a prefill, which has no effect
+    /// outside its worker.
     pub was_not_executed: bool,
-    /// Whether it was complete.
+    /// Whether the worker sent it up to its regular end.
     pub is_complete: bool,
 }
 
@@ -112,7 +114,7 @@
     pub propagated_timeout: Option<Duration>,
     /// When the last byte reached the worker, if its process was running.
     pub received: Option<Timestamp>,
-    /// The worker's response.
+    /// The worker's first response on the connection after the start of the attempt.
     pub response: Option<AttemptResponse>,
     /// When the router closed the connection.
     pub closed_by_router: Option<Timestamp>,
@@ -158,11 +160,11 @@
     pub transmissions: Vec<Transmission>,
     /// When the client disconnected before the end of the response.
     pub client_disconnected: Option<Timestamp>,
-    /// The head of the response.
+    /// The head of the response, if the client received one.
     pub response: Option<Response>,
     /// When the first event of the stream arrived.
     pub first_event: Option<Timestamp>,
-    /// The end of the response.
+    /// The end of the response, whether it was complete or truncated.
     pub response_end: Option<ResponseEnd>,
     /// When the client timed out, long after the deadline.
     pub timed_out: Option<Timestamp>,
@@ -209,7 +211,7 @@
     pub terminated: Option<Timestamp>,
     /// When it received SIGKILL.
     pub killed: Option<Timestamp>,
-    /// The exit of the process.
+    /// The exit of the process, if it exited during the run.
     pub exit: Option<Exit>,
 }
 
@@ -218,9 +220,9 @@
 pub struct WorkerProperties {
     /// Whether the worker serves prefill or decode calls.
     pub role: Role,
-    /// The zone of the worker.
+    /// The zone, which shares idempotency keys of scope `DeduplicationScope::Zone`.
     pub zone: u64,
-    /// The cell of the worker.
+    /// The cell, which shares idempotency keys of scope `DeduplicationScope::Cell`.
     pub cell: u64,
 }
 
@@ -240,7 +242,7 @@
     pub requests: BTreeMap<RequestId, Request>,
     /// The processes of each router, in starting order.
     pub incarnations: BTreeMap<RouterIndex, Vec<Incarnation>>,
-    /// The properties of each worker.
+    /// The role and location of each worker that has started.
     pub workers: HashMap<WorkerIndex, WorkerProperties>,
     harness_delays: Vec<HarnessDelay>,
 }
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -9,15 +9,15 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A request whose timeout is below this share of the longest one is not counted: it may be rejected at any
-/// time.
+/// A request whose timeout is below this share of the longest one is not counted, because routers may reject
+/// it at any time.
 const MIN_TIMEOUT_SHARE: f64 = 0.25;
 /// The minimum share of its requests that each router has to serve.
 const MIN_SERVED_SHARE: f64 = 0.9;
 /// The minimum number of requests at a router for its share to be checked.
 const MIN_REQUESTS: usize = 10;
 
-/// The number of requests at one router in the observation window.
+/// The requests at one router that count for its success rate.
 #[derive(Clone, Copy, Default)]
 struct RequestCounts {
     served: usize,
@@ -41,7 +41,10 @@
     }
     for (router, RequestCounts { served, total }) in &routers {
         if *total >= MIN_REQUESTS && (*served as f64) < MIN_SERVED_SHARE * *total as f64 {
-            let detail = format!("{served} of {total} requests served after the recovery period");
+            let detail = format!(
+                "{served} of {total} requests served after the recovery period, \
+                 minimum share {MIN_SERVED_SHARE}"
+            );
             findings.add(Invariant::Recovery, observation_window.end, *router, detail);
         }
     }
--- a/crates/fault-soak/src/oracle/reservations.rs
+++ b/crates/fault-soak/src/oracle/reservations.rs
@@ -34,7 +34,8 @@
     let longest = longest_idle_period(request, reservation.at, end);
     let Some(idle) = longest.filter(|idle| idle.length() > limit) else { return };
     let router = request.attempts.first().map_or(request.router, |attempt| attempt.router);
-    // A reservation that was orphaned by the end of its router process is not a violation.
+    // A router is not responsible for a reservation that its previous process left behind when it was killed
+    // or exited.
     let incarnation = run.incarnation(router, reservation.at);
     let ended = incarnation
         .and_then(|incarnation| incarnation.killed.or(incarnation.exit.as_ref().map(|exit| exit.at)));
@@ -43,7 +44,10 @@
     }
     let duration = idle.until.min(idle.from + MAX_REPORTED_DURATION).since(idle.from).as_millis();
     let worker = reservation.worker;
-    let detail = format!("reserved at worker {worker} for {duration} ms with no attempt in flight");
+    let release_timeout = deployment.release_timeout.as_millis();
+    let detail = format!(
+        "reserved at worker {worker} for {duration} ms with no attempt in flight, limit {release_timeout} ms"
+    );
     findings.add_for(request, Invariant::CacheReleased, idle.from + limit, router, detail);
 }
 
--- a/crates/fault-soak/src/oracle/responses.rs
+++ b/crates/fault-soak/src/oracle/responses.rs
@@ -11,7 +11,7 @@
 
 /// A response that arrives later than this after the deadline counts as missing.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
-/// A request sent later than this after SIGTERM has to be answered before the process is killed.
+/// A request sent later than this after SIGTERM has to be answered before the process gets SIGKILL.
 const LATE_REQUEST_THRESHOLD: Duration = Duration::from_millis(700);
 /// The time after SIGTERM during which a router has to accept connections, because the load balancer still
 /// sends new ones.
@@ -44,7 +44,8 @@
             let prior_requests = transmission.map_or(0, |transmission| transmission.prior_requests);
             let waited = at.since(sent.at).as_millis();
             let detail = format!(
-                "connection {kind:?} without a response after {waited} ms, {prior_requests} prior requests"
+                "no response, connection failed ({kind:?}) {waited} ms after the request was sent, \
+                 {prior_requests} prior requests on the connection"
             );
             findings.add_for(request, Invariant::FinalResponse, at, request.router, detail);
         }
@@ -64,11 +65,12 @@
 ) {
     let late_by = response.at.since(sent.deadline());
     if late_by > MAX_RESPONSE_DELAY {
-        let detail = format!("response {} ms after the deadline", late_by.as_millis());
+        let (late_by, limit) = (late_by.as_millis(), MAX_RESPONSE_DELAY.as_millis());
+        let detail = format!("response {late_by} ms after the deadline, limit {limit} ms");
         findings.add_for(request, Invariant::FinalResponse, response.at, request.router, detail);
     }
     if response.is_rejection() && !response.has_retry_after {
-        let detail = "rejected without Retry-After";
+        let detail = "rejected without a valid Retry-After header";
         findings.add_for(request, Invariant::RetryAfterPresent, response.at, request.router, detail);
     }
 }
@@ -90,8 +92,8 @@
         let was_killed = incarnation.killed.is_some_and(|killed| at + OBSERVATION_TOLERANCE >= killed);
         return has_stopped_listening || is_not_ready || was_killed;
     }
-    // The previous process may have received the request, so only a kill before the connection failed
-    // excuses it.
+    // The request may have been sent to the previous process, so only a kill up to the failure of the
+    // connection excuses the failure.
     let killed = incarnation.killed.filter(|killed| at + OBSERVATION_TOLERANCE >= *killed);
     killed.is_some() && !was_sent_late(incarnation, sent)
 }
@@ -101,8 +103,8 @@
     incarnation.terminated.is_some_and(|terminated| sent.at > terminated + LATE_REQUEST_THRESHOLD)
 }
 
-/// Checks that a connection ended without a response only before its request was forwarded. The client
-/// resends such a request, so the router must not have forwarded it the first time.
+/// Checks that the router did not forward a request if it closed the connection without a response, because
+/// the client then resends the request on a new connection.
 fn check_resent_request(run: &Observations, findings: &mut Findings<'_>, request: &Request) {
     let Some(resent) = request.transmissions.iter().find(|transmission| transmission.is_resent) else {
         return;
@@ -125,12 +127,12 @@
     let response = request.response.as_ref().filter(|response| response.status == 200);
     let Some(response) = response else { return };
     if let Some(at) = request.timed_out {
-        let detail = "a stalled stream was not closed";
+        let detail = "the stream stalled, and its connection was still open when the client timed out";
         findings.add_for(request, Invariant::DeadStreamClosed, at, request.router, detail);
     }
     let Some(end) = &request.response_end else { return };
     if !end.is_intact {
-        let detail = "the events differ from those of any single worker";
+        let detail = "the events are not those of one worker for this request, in order and without gaps";
         findings.add_for(request, Invariant::StreamIntact, end.at, request.router, detail);
     }
     let incarnation = run.incarnation(request.router, response.at);
@@ -143,7 +145,7 @@
         return;
     }
     if request.attempts.iter().any(is_delivered_stream) {
-        let detail = "truncated although its worker had completed it";
+        let detail = "the stream was truncated, although its worker had completed it";
         findings.add_for(request, Invariant::StreamComplete, end.at, request.router, detail);
     }
 }
@@ -159,7 +161,10 @@
     let Some(incarnation) = run.incarnation(request.router, response.at) else { return };
     let ended_by_kill = incarnation.killed.is_some_and(|killed| end.at + OBSERVATION_TOLERANCE >= killed);
     if ended_by_kill && request.sent().is_some_and(|sent| was_sent_late(incarnation, sent)) {
-        let detail = "accepted late in a shutdown and truncated by SIGKILL";
+        let limit = LATE_REQUEST_THRESHOLD.as_millis();
+        let detail = format!(
+            "the request was sent more than {limit} ms after SIGTERM, but SIGKILL truncated its stream"
+        );
         findings.add_for(request, Invariant::StreamComplete, end.at, request.router, detail);
     }
 }
--- a/crates/fault-soak/src/oracle/slow_start.rs
+++ b/crates/fault-soak/src/oracle/slow_start.rs
@@ -4,16 +4,22 @@
 use super::verdict::{Findings, Invariant};
 use crate::deployment::Deployment;
 use fleet_emulator::clock::Timestamp;
-use fleet_emulator::record::{CallKind, Record, Role, WorkerIndex};
+use fleet_emulator::record::{CallKind, Record, Role, RouterIndex, WorkerIndex};
 use std::collections::HashMap;
 use std::time::Duration;
 
+/// The router under which violations are reported, for which all routers together are responsible.
+const REPORTED_ROUTER: RouterIndex = 0;
+
 /// The assumed ratio between the capacity of a warm worker and its mean call rate.
 const CAPACITY_HEADROOM: f64 = 1.5;
 
 /// The shortest period over which a call rate is computed.
 const MIN_RATE_PERIOD: Duration = Duration::from_secs(1);
 
+/// Budgets below this number of calls get a larger sampling slack.
+const SMALL_BUDGET_CALLS: f64 = 30.0;
+
 /// The arrival times of the calls at each worker.
 type Arrivals = HashMap<WorkerIndex, Vec<Timestamp>>;
 
@@ -83,7 +89,7 @@
                 start.worker,
                 from.since(start.at).as_millis()
             );
-            findings.add(Invariant::SlowStart, until, 0, detail);
+            findings.add(Invariant::SlowStart, until, REPORTED_ROUTER, detail);
             return;
         }
     }
@@ -99,7 +105,7 @@
 }
 
 /// The excess over the budget that random arrivals explain: two standard deviations of a Poisson
-/// distribution, and three if the budget is small.
+/// distribution, and three if the budget is below [`SMALL_BUDGET_CALLS`], plus as many calls.
 fn sampling_slack(budget: f64) -> f64 {
-    if budget < 30.0 { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
+    if budget < SMALL_BUDGET_CALLS { 3.0 * budget.sqrt() + 3.0 } else { 2.0 * budget.sqrt() + 2.0 }
 }
--- a/crates/fault-soak/src/oracle/verdict.rs
+++ b/crates/fault-soak/src/oracle/verdict.rs
@@ -11,7 +11,7 @@
 pub enum Invariant {
     /// Each request that the router accepts gets a final response in time.
     FinalResponse,
-    /// A connection does not end without a response after its request was forwarded.
+    /// A connection whose request was forwarded does not end without a response.
     ForwardedThenAnswered,
     /// A streamed response consists of the unaltered events of one worker.
     StreamIntact,
@@ -35,7 +35,7 @@
     RejectionSafeToRetry,
     /// A rejection has a `Retry-After` header.
     RetryAfterPresent,
-    /// A draining or removed worker gets no new calls.
+    /// A worker that is draining or gone gets no new calls.
     DrainRespected,
     /// A reserved KV cache is fetched or released in time.
     CacheReleased,
@@ -58,15 +58,16 @@
 /// A violated invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The invariant.
+    /// Which invariant was violated.
     pub invariant: Invariant,
     /// When it was violated.
     pub at: Timestamp,
-    /// The router that violated the invariant.
+    /// The router that violated the invariant; 0 for [`Invariant::SlowStart`], which concerns the calls of
+    /// all routers together.
     pub router: RouterIndex,
     /// The affected request, if the violation concerns a single one.
     pub request: Option<RequestId>,
-    /// A description of the observation.
+    /// What was observed and what was expected.
     pub detail: String,
     /// Whether the test harness was delayed around that time, which may explain the observation.
     pub is_doubtful: bool,
@@ -161,7 +162,7 @@
     pub outcomes: BTreeMap<RequestOutcome, usize>,
     /// The share of requests in the observation window that were completed.
     pub recovered_share: f64,
-    /// The streams with late events.
+    /// The streams of the whole run, and those of them with late events.
     pub stream_delays: StreamDelays,
 }
 
@@ -170,6 +171,6 @@
 pub struct Verdict {
     /// The violations, ordered by invariant and then by time.
     pub violations: Vec<Violation>,
-    /// Statistics of the requests.
+    /// Statistics of the requests of the run, whether or not they violated an invariant.
     pub summary: Summary,
 }
