--- a/crates/fault-soak/src/oracle/attempts.rs
+++ b/crates/fault-soak/src/oracle/attempts.rs
@@ -75,7 +75,7 @@
         let earlier = request.attempts[..index].iter().find(is_in_flight);
         if let Some(earlier) = earlier {
             let detail = format!(
-                "attempt at worker {} while another was in flight at worker {}, limit one",
+                "attempt at worker {} while another was in flight at worker {}, expected one at a time",
                 later.worker, earlier.worker
             );
             findings.add_for(request, Invariant::SingleAttemptInFlight, received, later.router, detail);
--- a/crates/fault-soak/src/oracle/processes.rs
+++ b/crates/fault-soak/src/oracle/processes.rs
@@ -41,7 +41,8 @@
 fn check_incarnation(findings: &mut Findings<'_>, router: RouterIndex, incarnation: &Incarnation) {
     let started = incarnation.started;
     if let Some(exit) = incarnation.exit.as_ref().filter(|exit| !exit.was_expected) {
-        let detail = format!("exited without a request, or unsuccessfully after SIGTERM: {}", exit.status);
+        let detail =
+            format!("exited without a signal to do so, or unsuccessfully after SIGTERM: {}", exit.status);
         findings.add(Invariant::NoCrash, exit.at, router, detail);
     }
     let time_to_ready = incarnation.ready.map(|ready| ready.since(started));
--- a/crates/fault-soak/src/oracle/slow_start.rs
+++ b/crates/fault-soak/src/oracle/slow_start.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The router under which violations are reported, for which all routers together are responsible.
+/// The router that violations name, although all routers together are responsible for them.
 const REPORTED_ROUTER: RouterIndex = 0;
 
 /// The assumed ratio between the capacity of a warm worker and its mean call rate.
--- a/crates/fault-soak/src/oracle/verdict.rs
+++ b/crates/fault-soak/src/oracle/verdict.rs
@@ -43,7 +43,7 @@
     SlowStart,
     /// A misbehaving client gets an error response, or its connection is closed, in time.
     MisbehavingClientsRejected,
-    /// A process exits only on request, and after SIGTERM successfully.
+    /// A router process exits only after SIGTERM or SIGKILL, and after SIGTERM successfully.
     NoCrash,
     /// A router process becomes ready in time after its start.
     ReadyInTime,
--- a/crates/fleet-emulator/src/http.rs
+++ b/crates/fleet-emulator/src/http.rs
@@ -175,6 +175,7 @@
                 httparse::parse_chunk_size(&self.buffer).map_err(|_| ErrorKind::InvalidData)?
             {
                 self.buffer.drain(..start);
+                // A CRLF follows the data of each chunk.
                 let mut chunk = self.read_body(size as usize + 2).await?;
                 chunk.truncate(size as usize);
                 return Ok(chunk);
