--- a/crates/fault-soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -20,9 +20,9 @@
 /// The time after which clients abandon a request, as the routers' configuration states it.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The longest time to a client's deadline that the shutdown timeout covers. A longer one counts as this.
-const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// The time that the shutdown timeout adds to the longest time to a client's deadline.
+/// The longest first-token timeout of clients that the shutdown timeout covers. A longer one counts as this.
+const MAX_COVERED_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time that the shutdown timeout adds to the longest first-token timeout of clients.
 const SHUTDOWN_ALLOWANCE: Duration = Duration::from_millis(700);
 
 /// A request class.
@@ -110,7 +110,7 @@
 
     /// The minimum time between SIGTERM and the SIGKILL of a router that has not exited.
     pub fn shutdown_timeout(&self) -> Duration {
-        self.scenario.max_deadline.min(MAX_SHUTDOWN_DEADLINE) + SHUTDOWN_ALLOWANCE
+        self.scenario.max_first_token_timeout.min(MAX_COVERED_TIMEOUT) + SHUTDOWN_ALLOWANCE
     }
 
     /// The settings of a worker. Its cell and zone depend on its position in the fleet.
--- a/crates/fault-soak/src/load.rs
+++ b/crates/fault-soak/src/load.rs
@@ -22,7 +22,7 @@
 /// The maximum time between a request and the early disconnection of its client.
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_secs(1);
 /// The share of requests with a timeout that is too short for most responses.
-const SHORT_TIMEOUT_SHARE: f64 = 0.03;
+const INSUFFICIENT_TIMEOUT_SHARE: f64 = 0.03;
 /// The minimum timeout of the other requests, as a share of the maximum.
 const MIN_TIMEOUT_SHARE: f64 = 0.3;
 /// The share of requests whose prompts share a prefix with those of other requests.
@@ -48,7 +48,7 @@
 pub struct Load {
     /// Requests per second at each router.
     rate: f64,
-    max_deadline: Duration,
+    max_first_token_timeout: Duration,
     clients: Vec<Clients>,
     /// Whether each router is in the rotation of the load balancer, that is, gets new connections.
     is_in_rotation: Vec<AtomicBool>,
@@ -64,7 +64,7 @@
             LoadProfile { rate_multiplier: 1.0, disconnect_share: DEFAULT_DISCONNECT_SHARE, slow_share: 0.0 };
         Load {
             rate: deployment.request_rate,
-            max_deadline: deployment.scenario.max_deadline,
+            max_first_token_timeout: deployment.scenario.max_first_token_timeout,
             clients: (0..deployment.router_count).map(clients).collect(),
             is_in_rotation: (0..deployment.router_count).map(|_| AtomicBool::new(false)).collect(),
             profile: Mutex::new(profile),
@@ -109,7 +109,7 @@
 
     /// Runs one client, which sends a request and may retry it.
     async fn run_client(self: Arc<Self>, router: RouterIndex) {
-        let mut request = draw_request(self.max_deadline);
+        let mut request = draw_request(self.max_first_token_timeout);
         for _ in 0..MAX_CLIENT_ATTEMPTS {
             // A client keeps using its connection while that stays open.
             let is_in_rotation = self.is_in_rotation[router].load(Ordering::Relaxed);
@@ -154,13 +154,13 @@
     format!("q{:06}", NEXT_REQUEST_NUMBER.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-fn draw_request(max_deadline: Duration) -> Request {
+fn draw_request(max_first_token_timeout: Duration) -> Request {
     let mut random = rand::rng();
     let class = CLASSES[random.random_range(0..CLASSES.len())];
-    let first_token_timeout = if random.random_bool(SHORT_TIMEOUT_SHARE) {
+    let first_token_timeout = if random.random_bool(INSUFFICIENT_TIMEOUT_SHARE) {
         random.random_range(Duration::from_millis(5)..Duration::from_millis(80))
     } else {
-        random.random_range(max_deadline.mul_f64(MIN_TIMEOUT_SHARE)..max_deadline)
+        random.random_range(max_first_token_timeout.mul_f64(MIN_TIMEOUT_SHARE)..max_first_token_timeout)
     };
     let shared_prefix = random.random_bool(SHARED_PREFIX_SHARE).then(|| SharedPrefix {
         key: format!("p{}", random.random_range(0..12)),
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -31,7 +31,7 @@
     observation_window: &Range<Timestamp>,
     findings: &mut Findings<'_>,
 ) -> f64 {
-    let min_timeout = deployment.scenario.max_deadline.mul_f64(MIN_TIMEOUT_SHARE);
+    let min_timeout = deployment.scenario.max_first_token_timeout.mul_f64(MIN_TIMEOUT_SHARE);
     let mut routers: BTreeMap<RouterIndex, RequestCounts> = BTreeMap::new();
     let is_relevant = |request: &&Request| is_counted(request, observation_window, min_timeout);
     for request in run.requests.values().filter(is_relevant) {
