--- a/crates/fault-soak/src/faults/plan.rs
+++ b/crates/fault-soak/src/faults/plan.rs
@@ -33,7 +33,7 @@
 pub struct PlannedFault {
     /// When the fault is injected.
     pub from: Duration,
-    /// When the fault is reverted, unless its injection takes time and delays that.
+    /// When the fault is reverted, or later by the time that its injection takes.
     pub until: Duration,
     /// The fault and its targets.
     pub fault: Fault,
--- a/crates/fault-soak/src/oracle/recovery.rs
+++ b/crates/fault-soak/src/oracle/recovery.rs
@@ -11,7 +11,7 @@
 
 /// A request whose timeout is below this share of the longest one is not counted, because routers may reject
 /// it at any time.
-const MIN_TIMEOUT_SHARE: f64 = 0.25;
+const MIN_COUNTED_TIMEOUT_SHARE: f64 = 0.25;
 /// The minimum share of its requests that each router has to serve.
 const MIN_SERVED_SHARE: f64 = 0.9;
 /// The minimum number of requests at a router for its share to be checked.
@@ -31,7 +31,7 @@
     observation_window: &Range<Timestamp>,
     findings: &mut Findings<'_>,
 ) -> f64 {
-    let min_timeout = deployment.scenario.max_first_token_timeout.mul_f64(MIN_TIMEOUT_SHARE);
+    let min_timeout = deployment.scenario.max_first_token_timeout.mul_f64(MIN_COUNTED_TIMEOUT_SHARE);
     let mut routers: BTreeMap<RouterIndex, RequestCounts> = BTreeMap::new();
     let is_relevant = |request: &&Request| is_counted(request, observation_window, min_timeout);
     for request in run.requests.values().filter(is_relevant) {
