--- a/crates/fault-soak/src/faults/links.rs
+++ b/crates/fault-soak/src/faults/links.rs
@@ -10,7 +10,7 @@
 pub struct LinkFault {
     /// The workers whose links are affected.
     pub workers: Vec<WorkerIndex>,
-    /// The kind of fault.
+    /// What happens to the links to these workers.
     pub kind: LinkFaultKind,
 }
 
@@ -37,7 +37,7 @@
     Fragmentation,
     /// Idle connections are closed.
     IdleClose,
-    /// Idle connections are dropped silently: the next request gets a reset.
+    /// Idle connections are dropped silently: the next request on one is answered with a reset.
     IdleDrop,
 }
 
--- a/crates/fault-soak/src/faults/plan.rs
+++ b/crates/fault-soak/src/faults/plan.rs
@@ -33,9 +33,9 @@
 pub struct PlannedFault {
     /// When the fault is injected.
     pub from: Duration,
-    /// When it is reverted.
+    /// When the fault is reverted, or later by the time that its injection takes.
     pub until: Duration,
-    /// The fault.
+    /// The fault and its targets.
     pub fault: Fault,
 }
 
@@ -54,7 +54,8 @@
     plan
 }
 
-/// Draws a fault and its targets in a fleet of the given size.
+/// Draws a fault and its targets in a fleet of the given size. A fault with two numbers is drawn twice as
+/// often.
 fn draw_fault(random: &mut StdRng, router_count: usize, worker_count: usize) -> Fault {
     let routers = draw_subset(random, router_count, MAX_ROUTER_SHARE);
     let workers = draw_subset(random, worker_count, MAX_WORKER_SHARE);
--- a/crates/fault-soak/src/faults/workers.rs
+++ b/crates/fault-soak/src/faults/workers.rs
@@ -15,9 +15,9 @@
 /// A fault of some workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerFault {
-    /// The affected workers.
+    /// The workers whose processes are affected.
     pub workers: Vec<WorkerIndex>,
-    /// The kind of fault.
+    /// What happens to these workers.
     pub kind: WorkerFaultKind,
 }
 
@@ -28,9 +28,9 @@
     Crash,
     /// The worker drains, and a cold one replaces it.
     Replace,
-    /// The process hangs like a suspended one.
+    /// The process is frozen, as by SIGSTOP.
     Freeze,
-    /// The worker responds incorrectly or slowly.
+    /// The worker responds incorrectly, slowly or not at all.
     Misbehave(WorkerMisbehaviour),
 }
 
--- a/crates/fault-soak/src/oracle/membership.rs
+++ b/crates/fault-soak/src/oracle/membership.rs
@@ -1,4 +1,4 @@
-//! Checks that draining and removed workers get no new calls.
+//! Checks that workers that are draining or gone get no new calls.
 
 use super::OBSERVATION_TOLERANCE;
 use super::observations::Observations;
@@ -10,7 +10,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The time by which an attempt may exceed the configured grace period.
+/// The time by which the start of an attempt may exceed the configured grace period.
 const DRAIN_SLACK: Duration = Duration::from_millis(50);
 
 /// An endpoint update about a worker, as received by the discovery agent of a router.
@@ -19,12 +19,14 @@
     is_in_service: bool,
 }
 
-/// The endpoint updates of all discovery agents.
+/// The endpoint updates that all discovery agents received, and the disruptions of the agents.
 #[derive(Default)]
 struct DiscoveryHistory {
+    /// The updates about each worker, in the order in which the agent of a router received them.
     updates: HashMap<(RouterIndex, WorkerIndex), Vec<Update>>,
-    /// The periods in which updates may reach a router late. Each update arrives by the end of its period.
-    disturbances: HashMap<RouterIndex, Vec<RangeInclusive<Timestamp>>>,
+    /// The periods in which updates may reach a router late. The router has to know of an update in such a
+    /// period by the end of the period.
+    disruptions: HashMap<RouterIndex, Vec<RangeInclusive<Timestamp>>>,
 }
 
 impl DiscoveryHistory {
@@ -33,8 +35,8 @@
         for entry in &run.entries {
             let at = entry.at;
             match entry.record {
-                Record::DiscoveryDisturbed { router, allowance } => {
-                    discovery.disturbances.entry(router).or_default().push(at..=at + allowance);
+                Record::DiscoveryDisrupted { router, allowance } => {
+                    discovery.disruptions.entry(router).or_default().push(at..=at + allowance);
                 }
                 Record::WorkerWithdrawn { router, worker } => {
                     discovery.add_update(router, worker, Update { at, is_in_service: false });
@@ -64,9 +66,9 @@
         let latest_first = updates.iter().filter(|update| update.at <= at).rev();
         // The first update that withdrew the worker since it was last in service.
         let withdrawn = latest_first.take_while(|update| !update.is_in_service).last()?.at;
-        let disturbances = self.disturbances.get(&router).map_or(&[][..], Vec::as_slice);
-        let overlapping = disturbances.iter().filter(|disturbance| disturbance.contains(&withdrawn));
-        Some(overlapping.map(|disturbance| *disturbance.end()).max().unwrap_or(withdrawn))
+        let disruptions = self.disruptions.get(&router).map_or(&[][..], Vec::as_slice);
+        let overlapping = disruptions.iter().filter(|disruption| disruption.contains(&withdrawn));
+        Some(overlapping.map(|disruption| *disruption.end()).max().unwrap_or(withdrawn))
     }
 }
 
@@ -80,9 +82,10 @@
             let late_by = attempt.started.since(known_by);
             if late_by > deployment.drain_grace + DRAIN_SLACK + OBSERVATION_TOLERANCE {
                 let detail = format!(
-                    "attempt at worker {} {} ms after its withdrawal was known",
+                    "attempt at worker {} {} ms after its withdrawal was known, limit {} ms",
                     attempt.worker,
-                    late_by.as_millis()
+                    late_by.as_millis(),
+                    deployment.drain_grace.as_millis()
                 );
                 findings.add_for(request, Invariant::DrainRespected, attempt.started, attempt.router, detail);
             }
