--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -156,11 +156,11 @@
                 let channels = channels.lock().unwrap();
                 let (gate, report_closed) = &*channels;
                 gate.recv().unwrap();
-                conn.answer("500 Error", "", "");
-                report_closed.send(conn.is_closed()).unwrap();
+                conn.respond("500 Error", "", "");
+                report_closed.send(conn.wait_for_close()).unwrap();
                 return false;
             }
-            conn.answer("202 Accepted", "", "{}");
+            conn.respond("202 Accepted", "", "{}");
             true
         });
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
@@ -185,7 +185,7 @@
         let gate = Mutex::new(gate);
         let (worker, received) = recording_worker(move |_, conn| {
             gate.lock().unwrap().recv().unwrap();
-            conn.answer("202 Accepted", "", "{}");
+            conn.respond("202 Accepted", "", "{}");
             true
         });
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -1,6 +1,6 @@
 //! The test harness: an upstream client, the driver inputs that it submits, and scripted workers.
 
-use crate::support::{Conn, Message, Peer};
+use crate::support::{Message, Peer, PeerConnection};
 use llm_router::interface::*;
 use llm_router::net::discovery::{AddressedEndpoint, Directory, EndpointUpdate};
 use llm_router::net::upstream::client::UpstreamClient;
@@ -128,7 +128,7 @@
 
 /// Starts a worker that records the requests it receives and answers them by calling `handle`.
 pub fn recording_worker(
-    handle: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+    handle: impl Fn(&Message, &mut PeerConnection) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<Message>) {
     let (record, received) = mpsc::channel();
     let record = Mutex::new(record);
@@ -140,8 +140,8 @@
 }
 
 /// Answers a prefill request successfully.
-pub fn complete_prefill(_: &Message, conn: &mut Conn) -> bool {
-    conn.answer("202 Accepted", "", "{}");
+pub fn complete_prefill(_: &Message, conn: &mut PeerConnection) -> bool {
+    conn.respond("202 Accepted", "", "{}");
     true
 }
 
--- a/tests/attempts/responses.rs
+++ b/tests/attempts/responses.rs
@@ -20,10 +20,10 @@
         let seen_peers = Mutex::new(HashSet::new());
         let (worker, received) = recording_worker(move |_, conn| {
             // On a reused connection, the surplus response to the first request precedes the answer.
-            if !seen_peers.lock().unwrap().insert(conn.0.peer_addr().unwrap()) {
-                let _ = conn.0.write_all(b"HTTP/1.1 500 Error\r\ncontent-length: 0\r\n\r\n");
+            if !seen_peers.lock().unwrap().insert(conn.stream.peer_addr().unwrap()) {
+                let _ = conn.stream.write_all(b"HTTP/1.1 500 Error\r\ncontent-length: 0\r\n\r\n");
             }
-            conn.answer("202 Accepted", "", "{}");
+            conn.respond("202 Accepted", "", "{}");
             true
         });
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
@@ -58,7 +58,7 @@
 ) {
     run_local(async {
         let (worker, _received) = recording_worker(move |_, conn| {
-            conn.answer(status, headers, "data: {}\n\n");
+            conn.respond(status, headers, "data: {}\n\n");
             true
         });
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
--- a/tests/attempts/write_guard.rs
+++ b/tests/attempts/write_guard.rs
@@ -76,7 +76,7 @@
     #[case] change: StateChange,
     #[case] expected: Result<(), Outcome>,
 ) {
-    let mut upstream = UpstreamHarness::start(&[(WORKER, Peer::nobody())], 4);
+    let mut upstream = UpstreamHarness::start(&[(WORKER, Peer::refusing_address())], 4);
     let mut attempt = upstream.attempt(WORKER, "id-1");
     let now = upstream.now();
     match change {
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -19,8 +19,8 @@
     let (record_id, ids) = mpsc::channel();
     let record_id = Mutex::new(record_id);
     let peer = Peer::start(move |message, conn| {
-        if message.line.starts_with("DELETE") {
-            conn.answer("204 No Content", "", "");
+        if message.start_line.starts_with("DELETE") {
+            conn.respond("204 No Content", "", "");
             return true;
         }
         record_id
@@ -29,7 +29,7 @@
             .send(message.header("x-request-id").unwrap_or_default().to_owned())
             .unwrap();
         conn.begin_stream();
-        conn.delta("one");
+        conn.send_delta("one");
         conn.end_stream();
         true
     });
@@ -69,7 +69,8 @@
 #[case::endless_line("x-long: ", "a")]
 #[case::endless_lines("", "x-many: a\r\n")]
 fn an_endless_head_gets_an_error_and_a_close(#[case] line_start: &str, #[case] repeated: &str) {
-    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    let router =
+        RouterProcess::start(&operator_file(&[Peer::refusing_address()], &[Peer::refusing_address()], ""));
     let mut client = router.connect();
     let mut sender = client.try_clone().unwrap();
     let head = format!("{HEAD}{line_start}");
@@ -79,7 +80,7 @@
             && (0..2000).all(|_| sender.write_all(part.as_bytes()).is_ok())
     });
     let response = Message::read(&mut BufReader::new(&mut client)).unwrap_or_default();
-    assert!(response.status() == 0 || (400..500).contains(&response.status()), "{}", response.line);
+    assert!(response.status() == 0 || (400..500).contains(&response.status()), "{}", response.start_line);
     drop(client);
     assert!(!sent_whole.join().unwrap(), "the whole head was read");
     assert_eq!(router.stop().get("requests_received"), 0);
@@ -114,7 +115,7 @@
         &[decode_worker.address],
         "limits = { sockets = 256, memory_mb = 64 }",
     );
-    let router = RouterProcess::start_within(256, &file);
+    let router = RouterProcess::start_with_descriptor_limit(256, &file);
     let send = |i| {
         let mut client = router.connect();
         let _ = client.write_all(request(&format!("id-{i}"), "explain", "hello").as_bytes());
@@ -212,7 +213,7 @@
 fn a_malformed_request_is_answered_with_a_4xx_and_never_forwarded(#[case] bytes: &str, #[case] status: u16) {
     let (peer, messages) = recording_peer(|_, _| false);
     let router = RouterProcess::start(&operator_file(&[peer.address], &[peer.address], ""));
-    assert_eq!(router.raw(bytes.as_bytes()).status(), status);
+    assert_eq!(router.send_raw(bytes.as_bytes()).status(), status);
     // The bytes after such a request, or in its body, may be answered with another 4xx.
     assert!((1..=2).contains(&router.stop().get("requests_malformed")));
     assert_eq!(messages.try_iter().count(), 0);
@@ -284,7 +285,8 @@
 /// for as long as the client sends.
 #[test]
 fn a_body_far_above_the_limit_is_rejected_and_not_read_to_its_end() {
-    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    let router =
+        RouterProcess::start(&operator_file(&[Peer::refusing_address()], &[Peer::refusing_address()], ""));
     let mut client = router.connect();
     let mut sender = client.try_clone().unwrap();
     let sent_whole = std::thread::spawn(move || {
@@ -301,7 +303,8 @@
 #[test]
 fn a_burst_of_connections_waits_in_the_listen_backlog() {
     const BURST: usize = 400;
-    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
+    let router =
+        RouterProcess::start(&operator_file(&[Peer::refusing_address()], &[Peer::refusing_address()], ""));
     router.signal("-STOP");
     let connect = |_| TcpStream::connect_timeout(&router.address, Duration::from_millis(500));
     let connected: Vec<_> = (0..BURST).map(connect).take_while(Result::is_ok).collect();
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use support::server::*;
-use support::{Peer, RouterProcess, operator_file, request};
+use support::{MAX_DESCRIPTORS, Peer, RouterProcess, operator_file, request};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
@@ -30,7 +30,7 @@
 }
 
 async fn check_health(client: &mut TcpStream) {
-    client.write_all(HEALTH).await.unwrap();
+    client.write_all(HEALTH_CHECK_REQUEST).await.unwrap();
     assert!(client.read(&mut [0; 256]).await.unwrap() > 0);
 }
 
@@ -41,8 +41,8 @@
 #[case::eviction(CloseCause::Eviction)]
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(#[case] cause: CloseCause) {
-    on_one_thread(async {
-        let server = Server::start_with(Options { max_connections: 1, ..Options::default() }).await.run();
+    run_local(async {
+        let server = Server::bind_with(Options { max_connections: 1, ..Options::default() }).await.run();
         let mut client = server.connect().await;
         check_health(&mut client).await;
         let mut new_connection = None;
@@ -59,7 +59,7 @@
         assert_eq!(client.read(&mut [0]).await.unwrap(), 0);
         client.write_all(request("id-1", "send", "hello").as_bytes()).await.unwrap();
         drop(new_connection);
-        server.all_closed().await;
+        server.wait_until_all_closed().await;
         assert!(was_reset(&client), "the request was read");
     })
     .await;
@@ -69,8 +69,8 @@
 /// connection's last, and against a reset that discards this response before the client has read it.
 #[tokio::test(start_paused = true)]
 async fn a_request_pipelined_after_the_last_one_of_a_connection_is_not_read() {
-    on_one_thread(async {
-        let server = Server::start_with(Options { max_connections: 0, ..Options::default() }).await.run();
+    run_local(async {
+        let server = Server::bind_with(Options { max_connections: 0, ..Options::default() }).await.run();
         let mut client = server.connect().await;
         let both = ["id-1", "id-2"].map(|id| request(id, "send", "hello")).concat();
         client.write_all(both.as_bytes()).await.unwrap();
@@ -78,7 +78,7 @@
         client.read_to_string(&mut response).await.unwrap();
         assert!(response.starts_with("HTTP/1.1 503") && response.contains("connection: close"), "{response}");
         assert_eq!(response.matches("HTTP/1.1").count(), 1);
-        server.all_closed().await;
+        server.wait_until_all_closed().await;
         assert!(was_reset(&client), "the second request was read");
     })
     .await;
@@ -87,8 +87,8 @@
 /// Guards against a request that is read and never answered because the bytes after it cannot be parsed.
 #[tokio::test(start_paused = true)]
 async fn a_request_followed_by_malformed_bytes_is_answered() {
-    on_one_thread(async {
-        let mut server = Server::start().await.run();
+    run_local(async {
+        let mut server = Server::bind().await.run();
         let mut client = server.connect().await;
         client.write_all(request("id-1", "send", "hello").as_bytes()).await.unwrap();
         let submitted = server.next_request().await;
@@ -108,16 +108,16 @@
 /// be distinguished from one that has disconnected, so no attempt is started for it.
 #[tokio::test]
 async fn a_client_that_shuts_down_its_sending_side_after_a_request_gets_a_final_response() {
-    on_one_thread(async {
-        let mut server = Server::start().await.run();
-        let mut client = blocking(server.connect().await);
+    run_local(async {
+        let mut server = Server::bind().await.run();
+        let mut client = into_blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
         client.shutdown(Shutdown::Write).unwrap();
         assert_eq!(server.next_disconnected().await, submitted.spec.request);
         // The driver, too, drops the request of a disconnected client.
         drop(submitted);
-        server.all_closed().await;
+        server.wait_until_all_closed().await;
         let response = read_to_close(&mut client);
         assert!(response.starts_with("HTTP/1.1 502") && response.contains("connection: close"), "{response}");
     })
@@ -131,10 +131,10 @@
 #[case::part_of_another_request("POST /v1/chat")]
 #[tokio::test]
 async fn a_close_is_detected_without_waiting_for_the_runtime(#[case] sent_before_close: &str) {
-    on_one_thread(async {
+    run_local(async {
         // The memory budget leaves no room to read the next request ahead.
-        let mut server = Server::start_with(Options { body_memory: 16, ..Options::default() }).await.run();
-        let mut client = blocking(server.connect().await);
+        let mut server = Server::bind_with(Options { body_memory: 16, ..Options::default() }).await.run();
+        let mut client = into_blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
         assert!(!submitted.forwarded.client.is_closed());
@@ -153,11 +153,11 @@
 #[rstest]
 #[case::silent(b"")]
 #[case::half_a_request(b"POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n")]
-#[case::answered_and_still_connected(HEALTH)]
+#[case::answered_and_still_connected(HEALTH_CHECK_REQUEST)]
 #[tokio::test(start_paused = true)]
 async fn a_new_client_is_answered_at_once_at_the_connection_limit(#[case] sent: &[u8]) {
-    on_one_thread(async {
-        let server = Server::start_with(Options { max_connections: 4, ..Options::default() }).await.run();
+    run_local(async {
+        let server = Server::bind_with(Options { max_connections: 4, ..Options::default() }).await.run();
         let mut others = Vec::new();
         for _ in 0..60 {
             let mut client = server.connect().await;
@@ -166,7 +166,7 @@
         }
         let mut client = server.connect().await;
         let started = Instant::now();
-        client.write_all(HEALTH).await.unwrap();
+        client.write_all(HEALTH_CHECK_REQUEST).await.unwrap();
         let mut response = [0; 256];
         let length = client.read(&mut response).await.unwrap();
         let response = String::from_utf8_lossy(&response[..length]);
@@ -181,8 +181,8 @@
 /// it sent the request.
 #[tokio::test(start_paused = true)]
 async fn the_deadline_of_a_pipelined_request_includes_its_wait() {
-    on_one_thread(async {
-        let mut server = Server::start().await.run();
+    run_local(async {
+        let mut server = Server::bind().await.run();
         let mut client = server.connect().await;
         client.write_all(request("id-1", "send", "hello").as_bytes()).await.unwrap();
         let first = server.next_request().await;
@@ -203,9 +203,9 @@
 /// rejection. The rest of that body is read, and nothing after it.
 #[tokio::test]
 async fn a_client_that_reads_only_after_sending_its_whole_body_receives_the_rejection() {
-    on_one_thread(async {
-        let server = Server::start_with(Options { max_connections: 0, ..Options::default() }).await.run();
-        let mut client = blocking(server.connect().await);
+    run_local(async {
+        let server = Server::bind_with(Options { max_connections: 0, ..Options::default() }).await.run();
+        let mut client = into_blocking(server.connect().await);
         // The client's send buffer must not hold the whole body.
         socket2::SockRef::from(&client).set_send_buffer_size(4 * 1024).unwrap();
         let body = "x".repeat(256 * 1024);
@@ -218,7 +218,7 @@
         });
         let (sent, response, client) = result.await.unwrap();
         assert!(sent && response.starts_with("HTTP/1.1 503"), "{response}");
-        server.all_closed().await;
+        server.wait_until_all_closed().await;
         let error = client.take_error().unwrap();
         assert!(error.is_some(), "the second request was read");
     })
@@ -232,8 +232,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let socket = ClientSocket::new(1, Rc::new(listener.accept().await.unwrap().0));
-    client.write_all(HEALTH).await.unwrap();
-    let mut request = vec![0; HEALTH.len()];
+    client.write_all(HEALTH_CHECK_REQUEST).await.unwrap();
+    let mut request = vec![0; HEALTH_CHECK_REQUEST.len()];
     GatedSocket::new(socket.clone()).read_exact(&mut request).await.unwrap();
     let (mut disconnected, mut polls) = (pin!(socket.disconnected()), 0);
     let waiting = poll_fn(|cx| {
@@ -290,19 +290,20 @@
 fn the_log_states_the_close_reason_of_a_connection(#[case] action: ClientAction, #[case] reason: &str) {
     let decode = Peer::start(|_, conn| {
         conn.begin_stream();
-        conn.delta("one");
+        conn.send_delta("one");
         false
     });
     let prefill = Peer::prefill_worker();
     let file = operator_file(&[prefill.address], &[decode.address], "");
-    let router = RouterProcess::start_in(1024, &file, &[("RUST_LOG", Path::new("debug"))]);
+    let router =
+        RouterProcess::start_with_environment(MAX_DESCRIPTORS, &file, &[("RUST_LOG", Path::new("debug"))]);
     let mut client = router.connect();
     match action {
         ClientAction::CloseAfterResponse => {
-            client.write_all(HEALTH).unwrap();
+            client.write_all(HEALTH_CHECK_REQUEST).unwrap();
             assert!(client.read(&mut [0; 256]).unwrap() > 0);
         }
-        ClientAction::CloseWithinHead => client.write_all(&HEALTH[..10]).unwrap(),
+        ClientAction::CloseWithinHead => client.write_all(&HEALTH_CHECK_REQUEST[..10]).unwrap(),
         ClientAction::ReceiveBrokenStream => {
             client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
             assert!(read_to_close(&mut client).contains("one"));
@@ -310,6 +311,6 @@
         ClientAction::SendNothing => assert_eq!(client.read(&mut [0]).unwrap(), 0),
     }
     drop(client);
-    let line = router.wait_for("connection 0: ends: ");
+    let line = router.wait_for_log_line("connection 0: ends: ");
     assert!(line.ends_with(&format!("ends: {reason}")), "{line}");
 }
--- a/tests/cpu_starvation.rs
+++ b/tests/cpu_starvation.rs
@@ -62,7 +62,7 @@
 
     /// Whether the request was served, or rejected with Retry-After, in time.
     fn is_answered(&self) -> bool {
-        let is_served = self.response.status() == 200 && self.response.whole;
+        let is_served = self.response.status() == 200 && self.response.is_complete;
         let is_rejected = self.response.status() == 503 && self.response.header("retry-after").is_some();
         self.duration < DEADLINE + RESPONSE_SLACK && (is_served || is_rejected)
     }
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -22,16 +22,16 @@
 #[test]
 fn router_serves_from_the_imported_file() {
     let worker = Peer::start(|message, conn| {
-        if message.line.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             conn.begin_stream();
-            conn.delta("one");
+            conn.send_delta("one");
             conn.end_stream();
         } else {
-            conn.answer("204 No Content", "", "");
+            conn.respond("204 No Content", "", "");
         }
         true
     });
-    let (listen, refused) = (Peer::unbound_address(), Peer::nobody());
+    let (listen, refused) = (Peer::unbound_address(), Peer::refusing_address());
     let text = format!(
         "# a comment\nglobal\n    maxconn 500\n    daemon\n\n\
          defaults\n    mode http\n    timeout connect 150ms\n    timeout server 1m\n    \
@@ -63,7 +63,7 @@
     let router = RouterProcess::start(&file);
     assert_eq!(router.address, listen);
     let response = router.request("id-1", "default");
-    assert!(response.status() == 200 && response.whole, "{response:?}");
+    assert!(response.status() == 200 && response.is_complete, "{response:?}");
 }
 
 #[rstest]
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -77,7 +77,8 @@
     let cpu_time_before = router.cpu_time();
     let responses = send_at_rate(router.address, REQUESTS, REQUESTS_PER_SECOND, DEADLINE);
     let cpu_time = router.cpu_time() - cpu_time_before;
-    let served = responses.iter().filter(|(response, _)| response.status() == 200 && response.whole).count();
+    let served =
+        responses.iter().filter(|(response, _)| response.status() == 200 && response.is_complete).count();
     let slowest = responses.iter().map(|(_, latency)| *latency).max().unwrap();
     println!("{worker_count} workers: {served} served, {cpu_time:?} of CPU time, the slowest in {slowest:?}");
     assert_eq!(served, REQUESTS as usize, "{worker_count} workers");
@@ -108,14 +109,14 @@
         lines.send(format!("{{\"seq\":{sequence},\"whole\":false,\"hosts\":[{host}]}}\n")).unwrap();
     };
     send_update(2, "answer-0", "draining");
-    router.wait_for("answer-0 (answer, here, cell 9) is Draining");
+    router.wait_for_log_line("answer-0 (answer, here, cell 9) is Draining");
     let cpu_time_before = router.cpu_time();
     for number in 0..UPDATES {
         let health = ["draining", "ready"][number / 10 % 2];
         send_update(3 + number, &format!("answer-{}", number % 10), health);
     }
     send_update(3 + UPDATES, "answer-0", "gone");
-    router.wait_for("answer-0 (answer, here, cell 9) is Gone");
+    router.wait_for_log_line("answer-0 (answer, here, cell 9) is Gone");
     let cpu_time = router.cpu_time() - cpu_time_before;
     println!("{worker_count} workers: {cpu_time:?} of CPU time for {UPDATES} updates");
     cpu_time
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -14,7 +14,8 @@
 fn requests_are_served_while_the_log_is_not_read() {
     let (prefill_worker, decode_worker) = (Peer::prefill_worker(), decode_worker());
     let file = operator_file(&[prefill_worker.address], &[decode_worker.address], "");
-    let router = RouterProcess::start_in(1024, &file, &[("RUST_LOG", Path::new("debug"))]);
+    let router =
+        RouterProcess::start_with_environment(MAX_DESCRIPTORS, &file, &[("RUST_LOG", Path::new("debug"))]);
     let log_reading = router.log_reading.clone();
     let reading_paused = log_reading.lock().unwrap();
     for number in 0..REQUESTS {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -27,15 +27,15 @@
     let ready = endpoint("answer-9", "answer", "ready", Some(new_decode.address));
     let discovery = Peer::start(move |message, conn| {
         conn.begin_stream();
-        if message.line.contains("after=1 ") {
-            conn.chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining},\n"));
+        if message.start_line.contains("after=1 ") {
+            conn.send_chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining},\n"));
         } else {
             // The first message was truncated, so the change is requested again after the last applied
             // sequence number.
-            record_request(message.line.clone());
+            record_request(message.start_line.clone());
             return false;
         }
-        conn.chunk(&format!("\n{{\"seq\":7,\"hosts\":[{draining},{ready}]}}\n\n"));
+        conn.send_chunk(&format!("\n{{\"seq\":7,\"hosts\":[{draining},{ready}]}}\n\n"));
         false
     });
     let extra = format!("discovery = \"{}\"", discovery.address);
@@ -54,15 +54,15 @@
     let (record_request, requests) = shared_channel();
     let draining = endpoint("answer-0", "answer", "draining", None);
     let discovery = Peer::start(move |message, conn| {
-        record_request(message.line.clone());
+        record_request(message.start_line.clone());
         conn.begin_stream();
-        conn.chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining}]}}\n"));
-        !conn.is_closed()
+        conn.send_chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining}]}}\n"));
+        !conn.wait_for_close()
     });
     let extra = format!("discovery = \"{}\"", discovery.address);
-    let file = operator_file(&[Peer::nobody()], &[Peer::nobody()], &extra);
+    let file = operator_file(&[Peer::refusing_address()], &[Peer::refusing_address()], &extra);
     let router = RouterProcess::start(&file.replace("\"pushed\"", "\"on_request\""));
-    router.wait_for("answer-0 (answer, here, cell 0) is Draining");
+    router.wait_for_log_line("answer-0 (answer, here, cell 0) is Draining");
     assert_eq!(router.stop().get("watches_lost"), 0);
     assert_eq!(requests.try_iter().count(), 1);
 }
@@ -72,7 +72,7 @@
 fn gated_decode_worker(gate: Arc<Mutex<()>>, started: Arc<dyn Fn(String) + Send + Sync>) -> Peer {
     Peer::start(move |_, conn| {
         conn.begin_stream();
-        conn.delta("one");
+        conn.send_delta("one");
         started(String::new());
         drop(gate.lock());
         conn.end_stream();
@@ -92,8 +92,8 @@
     let (record_close, closes) = shared_channel();
     let old_agent = Peer::start(move |_, conn| {
         conn.begin_stream();
-        conn.chunk("\n");
-        record_close(conn.is_closed().to_string());
+        conn.send_chunk("\n");
+        record_close(conn.wait_for_close().to_string());
         false
     });
     let (record_request, requests) = shared_channel();
@@ -103,12 +103,12 @@
     ];
     let list = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}", listed.join(","));
     let new_agent = Peer::start(move |message, conn| {
-        record_request(message.line.clone());
-        if message.line.contains("watch") {
+        record_request(message.start_line.clone());
+        if message.start_line.contains("watch") {
             conn.begin_stream();
-            return !conn.is_closed();
+            return !conn.wait_for_close();
         }
-        conn.answer("200 OK", "", &list);
+        conn.respond("200 OK", "", &list);
         true
     });
     let file = |extra: &str| operator_file(&[prefill.address], &[old_decode.address], extra);
@@ -117,7 +117,7 @@
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     streams.recv().unwrap();
     router.reload("listen = ");
-    assert!(router.wait_for("the configuration held stands").contains("line 1"));
+    assert!(router.wait_for_log_line("the configuration held stands").contains("line 1"));
     router.reload(&file(&format!("discovery = \"{}\"", new_agent.address)));
     assert_eq!(closes.recv().unwrap(), "true");
     for expected in ["GET /v1/servers HTTP", "GET /v1/servers?watch=1&after=1 HTTP"] {
@@ -125,7 +125,7 @@
     }
     assert_eq!(router.request("id-2", "send").status(), 200);
     drop(locked_gate);
-    assert!(Message::read(&mut BufReader::new(client)).unwrap().whole);
+    assert!(Message::read(&mut BufReader::new(client)).unwrap().is_complete);
     let counters = router.stop();
     assert_eq!(["reloads", "reloads_failed", "requests_received"].map(|name| counters.get(name)), [1, 1, 2]);
 }
@@ -182,7 +182,7 @@
 /// some after a response: the watch has to be reopened, and requests have to be served again.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_workers() {
-    const DESCRIPTORS: usize = 200;
+    const DESCRIPTOR_LIMIT: usize = 200;
     let (prefill, new_decode) = (Peer::prefill_worker(), decode_worker());
     let (record_failure, failures) = shared_channel();
     let discovery_up = Arc::new(AtomicBool::new(false));
@@ -194,22 +194,22 @@
             return false;
         }
         conn.begin_stream();
-        conn.chunk(&format!("{{\"seq\":2,\"hosts\":[{ready}]}}\n"));
-        conn.is_closed()
+        conn.send_chunk(&format!("{{\"seq\":2,\"hosts\":[{ready}]}}\n"));
+        conn.wait_for_close()
     });
     let extra = format!(
-        "discovery = \"{}\"\nlimits = {{ sockets = {DESCRIPTORS}, memory_mb = 64 }}",
+        "discovery = \"{}\"\nlimits = {{ sockets = {DESCRIPTOR_LIMIT}, memory_mb = 64 }}",
         discovery.address
     );
     let file = operator_file(&[prefill.address], &[], &extra);
-    let router = RouterProcess::start_within(DESCRIPTORS, &file);
-    let clients = IdleClients::start(router.address, 2 * DESCRIPTORS);
+    let router = RouterProcess::start_with_descriptor_limit(DESCRIPTOR_LIMIT, &file);
+    let clients = IdleClients::start(router.address, 2 * DESCRIPTOR_LIMIT);
     // Waits until discovery has failed further calls with all clients connected.
     for _ in 0..failures.try_iter().count() + 3 {
         failures.recv().unwrap();
     }
     discovery_up.store(true, Ordering::SeqCst);
-    let lines = router.lines_to("answer-9 (answer, here, cell 0) is Ready");
+    let lines = router.log_lines_until("answer-9 (answer, here, cell 0) is Ready");
     assert!(!lines.iter().any(|line| line.contains("Too many open files")), "{lines:?}");
     let mut attempts = 0;
     while router.request(&format!("id-{attempts}"), "send").status() != 200 {
@@ -225,14 +225,14 @@
     #[values("pushed", "on_request")] mode: &str,
 ) {
     let discovery = Peer::start(|_, conn| {
-        conn.is_closed();
+        conn.wait_for_close();
         false
     });
     let (prefill, decode) = (Peer::prefill_worker(), decode_worker());
     let extra = format!("discovery = \"{}\"", discovery.address);
     let file = operator_file(&[prefill.address], &[decode.address], &extra);
     let router = RouterProcess::start(&file.replace("\"pushed\"", &format!("\"{mode}\"")));
-    assert_eq!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").status(), 200);
+    assert_eq!(router.send_raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").status(), 200);
     assert_eq!(router.request("id-1", "send").status(), 200);
 }
 
@@ -244,7 +244,7 @@
     let drain_started = Mutex::new(drain_started);
     let (old_prefill, old_requests) = recording_peer_with_releases(move |message, _| {
         // The first prefill fails; the drain happens during the cache release before the second one.
-        if message.line.starts_with("DELETE") {
+        if message.start_line.starts_with("DELETE") {
             start_drain("now".into());
         }
         false
@@ -256,7 +256,7 @@
     let discovery = Peer::start(move |_, conn| {
         conn.begin_stream();
         if drain_started.lock().unwrap().recv().is_ok() {
-            conn.chunk(&format!("{{\"seq\":2,\"hosts\":[{draining},{ready}]}}\n"));
+            conn.send_chunk(&format!("{{\"seq\":2,\"hosts\":[{draining},{ready}]}}\n"));
             let _ = drain_started.lock().unwrap().recv();
         }
         false
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -20,16 +20,18 @@
 fn a_request_is_prefilled_then_decoded_and_forwarded_unchanged() {
     let ((decode, messages), prefill) = (recording_decode_worker(), Peer::prefill_worker());
     let router = start_router(&prefill, &decode);
-    assert!(router.raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").line.contains("200"));
-    let answer = router.request("id-1", "send");
+    assert!(router.send_raw(b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n").start_line.contains("200"));
+    let response = router.request("id-1", "send");
     let message = messages.recv().unwrap();
-    assert_eq!(message.line, "POST /v1/chat/completions?x=1 HTTP/1.1");
+    assert_eq!(message.start_line, "POST /v1/chat/completions?x=1 HTTP/1.1");
     assert_eq!((message.header("x-request-id"), message.text().as_str()), (Some("id-1"), "hello"));
-    assert_eq!(answer.header("content-type"), Some("text/event-stream"));
+    assert_eq!(response.header("content-type"), Some("text/event-stream"));
     let first_event =
         "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"},\"finish_reason\":null}]}\n\n";
     assert!(
-        answer.whole && answer.text().starts_with(first_event) && answer.text().ends_with("data: [DONE]\n\n")
+        response.is_complete
+            && response.text().starts_with(first_event)
+            && response.text().ends_with("data: [DONE]\n\n")
     );
     let counters = router.stop();
     let counts = [
@@ -51,8 +53,9 @@
     let router = start_router(&prefill, &decode);
     let headers = "idempotency-key: k-1\r\nx-other: a\r\nx-other: b\r\ncontent-type: application/json\r\n\
                 connection: x-hop\r\nx-hop: c\r\nkeep-alive: timeout=5\r\nte: trailers\r\ncontent-length";
-    let answer = router.raw(request("id-1", "send", "hello").replace("content-length", headers).as_bytes());
-    assert_eq!(answer.status(), 200);
+    let response =
+        router.send_raw(request("id-1", "send", "hello").replace("content-length", headers).as_bytes());
+    assert_eq!(response.status(), 200);
     let message = messages.recv().unwrap();
     let values =
         |name: &str| message.headers.iter().filter(|(n, _)| n == name).map(|(_, v)| v.as_str()).collect();
@@ -72,24 +75,24 @@
 #[test]
 fn after_a_stale_connection_no_pooled_connection_is_reused() {
     // A worker that answers the first request of each connection, and closes the connection on the second.
-    let answers_once = |answer: fn(&mut Conn)| {
+    let responding_once = |respond: fn(&mut PeerConnection)| {
         let seen_peers = Mutex::new(std::collections::HashSet::new());
         Peer::start(move |message, conn| {
             // The router may have closed the connection already; then there is no peer to answer.
-            let Ok(peer) = conn.0.peer_addr() else { return false };
+            let Ok(peer) = conn.stream.peer_addr() else { return false };
             let is_first = seen_peers.lock().unwrap().insert(peer);
-            if message.line.starts_with("DELETE") {
-                conn.answer("204 No Content", "", "");
+            if message.start_line.starts_with("DELETE") {
+                conn.respond("204 No Content", "", "");
             } else if is_first {
-                answer(conn);
+                respond(conn);
             }
             is_first
         })
     };
-    let prefill = answers_once(|conn| conn.answer("202 Accepted", "", r#"{"cached_tokens":4}"#));
-    let decode = answers_once(|conn| {
+    let prefill = responding_once(|conn| conn.respond("202 Accepted", "", r#"{"cached_tokens":4}"#));
+    let decode = responding_once(|conn| {
         conn.begin_stream();
-        conn.delta("one");
+        conn.send_delta("one");
         conn.end_stream();
     });
     let router = start_router(&prefill, &decode);
@@ -108,11 +111,11 @@
     #[case] status: &'static str,
 ) {
     let rejecting = Peer::start(move |_, conn| {
-        conn.answer(status, "x-not-run: 1\r\n", "");
+        conn.respond(status, "x-not-run: 1\r\n", "");
         true
     });
     let (decode, prefill) = (decode_worker(), Peer::prefill_worker());
-    let first = if status.is_empty() { Peer::nobody() } else { rejecting.address };
+    let first = if status.is_empty() { Peer::refusing_address() } else { rejecting.address };
     let router = RouterProcess::start(&operator_file(&[prefill.address], &[first, decode.address], ""));
     for i in 0..8 {
         assert_eq!(router.request(&format!("id-{i}"), "send").status(), 200);
@@ -128,7 +131,7 @@
         if attempts.fetch_add(1, Ordering::SeqCst) == 0 {
             return false;
         }
-        conn.answer("202 Accepted", "", r#"{"cached_tokens":0}"#);
+        conn.respond("202 Accepted", "", r#"{"cached_tokens":0}"#);
         true
     });
     // This worker accepts no release, so the release has to go to the prefill worker.
@@ -153,7 +156,7 @@
     client.fill_buf().unwrap();
     assert_eq!(router.request("id-1", "send").status(), 409);
     let _decode = decode.open_gate();
-    assert!(Message::read(&mut client).unwrap().whole);
+    assert!(Message::read(&mut client).unwrap().is_complete);
     while router.request("id-1", "send").status() == 409 {}
     assert_eq!(router.stop().get("requests_received"), 2);
 }
@@ -168,7 +171,7 @@
     worker.wait_for_request();
     client.shutdown(Shutdown::Both).unwrap();
     assert!(worker.router_closed_connection());
-    assert!(worker.wait_for_line("DELETE /internal/reservations/id-1"));
+    assert!(worker.wait_for_request_line("DELETE /internal/reservations/id-1"));
 }
 
 /// A half-closed connection can't be distinguished from a disconnect: the request gets no further attempt,
@@ -183,8 +186,8 @@
     client.get_mut().write_all(request("id-1", class, "hello").as_bytes()).unwrap();
     worker.wait_for_request();
     client.get_mut().shutdown(Shutdown::Write).unwrap();
-    let answer = Message::read(&mut client).unwrap();
-    assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")));
+    let response = Message::read(&mut client).unwrap();
+    assert_eq!((response.status(), response.header("connection")), (status, Some("close")));
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
     assert_eq!(router.stop().get("client_disconnects"), 1);
     assert_eq!(worker.requests_received(), 1);
@@ -214,10 +217,11 @@
 /// `Retry-After`.
 #[test]
 fn a_request_without_a_worker_is_rejected_with_retry_after_long_before_its_deadline() {
-    let router = RouterProcess::start(&operator_file(&[Peer::nobody()], &[Peer::nobody()], ""));
-    let answer = router.request("id-1", "send");
-    assert_eq!(answer.status(), 503);
-    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    let router =
+        RouterProcess::start(&operator_file(&[Peer::refusing_address()], &[Peer::refusing_address()], ""));
+    let response = router.request("id-1", "send");
+    assert_eq!(response.status(), 503);
+    let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!((1.0..=2.0).contains(&retry_after), "{retry_after}");
 }
 
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -26,7 +26,7 @@
             let is_first_attempt = attempt_count.fetch_add(1, Ordering::SeqCst) == 0;
             if !is_first_attempt || sends_first_event {
                 conn.begin_stream();
-                conn.delta("one");
+                conn.send_delta("one");
             }
             if !is_first_attempt {
                 conn.end_stream();
@@ -37,12 +37,12 @@
     let (decode_workers, prefill) = ([start_worker(), start_worker()], Peer::prefill_worker());
     let addresses = decode_workers.each_ref().map(|worker| worker.address);
     let router = RouterProcess::start(&operator_file(&[prefill.address], &addresses, ""));
-    let answer = router.request("id-1", class);
+    let response = router.request("id-1", class);
     assert_eq!(
-        (answer.status(), answer.whole, attempt_count.load(Ordering::SeqCst)),
+        (response.status(), response.is_complete, attempt_count.load(Ordering::SeqCst)),
         (status, is_complete, attempts)
     );
-    assert!(!sends_first_event || answer.text().contains("one"));
+    assert!(!sends_first_event || response.text().contains("one"));
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -60,33 +60,33 @@
 #[case::chunk_size_too_large("{HEAD}b\r\ndata: one\n\n\r\n40\r\ndata: two\n\n\r\nb\r\ndata: x\n\n\r\n", true)]
 #[case::chunk_of_three_gigabytes("{HEAD}b\r\ndata: one\n\n\r\nb2d05e00\r\n{MORE}", true)]
 fn a_worker_sends_a_corrupted_stream(
-    #[case] response: &str,
+    #[case] worker_response: &str,
     #[case] has_first_event: bool,
     #[values("send", "explain")] class: &str,
 ) {
     let (report_closed, closed) = shared_channel();
-    let response = response.replace("{HEAD}", HEAD);
+    let worker_response = worker_response.replace("{HEAD}", HEAD);
     // `{MORE}` stands for data without end.
-    let is_endless = response.contains("{MORE}");
+    let is_endless = worker_response.contains("{MORE}");
     let attempts = AtomicU32::new(0);
     let decode = Peer::start(move |_, conn| {
         if attempts.fetch_add(1, Ordering::SeqCst) > 0 {
             conn.begin_stream();
-            conn.delta("one");
+            conn.send_delta("one");
             conn.end_stream();
             return true;
         }
-        let _ = conn.0.write_all(response.replace("{MORE}", "").as_bytes());
-        while is_endless && conn.0.write_all(&[b'x'; 4096]).is_ok() {}
-        report_closed((is_endless || conn.is_closed()).to_string());
+        let _ = conn.stream.write_all(worker_response.replace("{MORE}", "").as_bytes());
+        while is_endless && conn.stream.write_all(&[b'x'; 4096]).is_ok() {}
+        report_closed((is_endless || conn.wait_for_close()).to_string());
         false
     });
     let prefill = Peer::prefill_worker();
     let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
-    let answer = router.request("id-1", class);
+    let response = router.request("id-1", class);
     let status = if has_first_event || class == "explain" { 200 } else { 502 };
-    assert_eq!((answer.status(), answer.whole), (status, !has_first_event));
-    assert!(!has_first_event || answer.text() == "data: one\n\n", "{}", answer.text());
+    assert_eq!((response.status(), response.is_complete), (status, !has_first_event));
+    assert!(!has_first_event || response.text() == "data: one\n\n", "{}", response.text());
     assert_eq!(closed.recv().unwrap(), "true");
 }
 
@@ -99,7 +99,7 @@
     let decode = Peer::start(move |_, conn| {
         conn.begin_stream();
         for number in 0..20 {
-            conn.delta(&format!("<{number}>"));
+            conn.send_delta(&format!("<{number}>"));
             gate.lock().unwrap().recv().unwrap();
         }
         conn.end_stream();
@@ -125,8 +125,8 @@
     let (report_closed, closed) = shared_channel();
     let decode = Peer::start(move |_, conn| {
         conn.begin_stream();
-        conn.delta("one");
-        while write!(conn.0, "8\r\n: ping\n\n\r\n").is_ok() {
+        conn.send_delta("one");
+        while write!(conn.stream, "8\r\n: ping\n\n\r\n").is_ok() {
             std::thread::sleep(std::time::Duration::from_millis(50));
         }
         report_closed("closed".into());
@@ -134,8 +134,8 @@
     });
     let prefill = Peer::prefill_worker();
     let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
-    let answer = router.request("id-1", "send");
-    assert!(answer.status() == 200 && !answer.whole && answer.text().contains("one"));
+    let response = router.request("id-1", "send");
+    assert!(response.status() == 200 && !response.is_complete && response.text().contains("one"));
     closed.recv().unwrap();
 }
 
@@ -152,17 +152,21 @@
     let report = "transfer-encoding: chunked\r\nx-load: \u{1}\u{2}\r\nx-load: what\r\n";
     let head = head.replace("{HEAD}", HEAD).replace("transfer-encoding: chunked\r\n", report);
     let decode = Peer::start(move |message, conn| {
-        let _ = conn.0.write_all(head.as_bytes());
-        conn.delta(message.header("x-request-id").unwrap());
+        let _ = conn.stream.write_all(head.as_bytes());
+        conn.send_delta(message.header("x-request-id").unwrap());
         // In one write: a second response that arrived after the next request was sent would be
         // indistinguishable from the response to that request.
-        let _ = conn.0.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{trailing}").as_bytes());
+        let _ = conn.stream.write_all(format!("e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n{trailing}").as_bytes());
         true
     });
     let prefill = Peer::prefill_worker();
     let router = RouterProcess::start(&operator_file(&[prefill.address], &[decode.address], ""));
     for number in 0..20 {
-        let answer = router.request(&format!("id-{number}"), "send");
-        assert!(answer.whole && answer.text().contains(&format!("\"id-{number}\"")), "{}", answer.line);
+        let response = router.request(&format!("id-{number}"), "send");
+        assert!(
+            response.is_complete && response.text().contains(&format!("\"id-{number}\"")),
+            "{}",
+            response.start_line
+        );
     }
 }
--- a/tests/support/operator_file.rs
+++ b/tests/support/operator_file.rs
@@ -1,14 +1,14 @@
-//! The operator's file that a router under test starts with.
+//! The operator's configuration file of a router under test.
 
 use std::net::SocketAddr;
 
-/// Stands in extra text between the keys of the whole file and its last tables.
-const TABLES_FOLLOW: &str = "---";
+/// In the extra text, separates top-level keys from tables.
+const TABLE_SEPARATOR: &str = "---";
 
-/// An operator's file with these prefill and decode workers. Of the extra text, what stands before a `---` goes to the
-/// keys at the head of the file, and what stands behind it to the file's end.
+/// Returns an operator's file that lists these prefill and decode workers. Extra text before a `---` is added to
+/// the top-level keys, which TOML requires ahead of all tables; text after it is appended to the file.
 pub fn operator_file(prefill_workers: &[SocketAddr], decode_workers: &[SocketAddr], extra: &str) -> String {
-    let (keys, tables) = extra.split_once(TABLES_FOLLOW).unwrap_or((extra, ""));
+    let (keys, tables) = extra.split_once(TABLE_SEPARATOR).unwrap_or((extra, ""));
     let mut text = format!("name = \"test\"\nlisten = \"127.0.0.1:0\"\n{keys}\n");
     text += include_str!("settings.toml");
     text += "[known]\nseq = 1\nwhole = true\n";
--- a/tests/support/peer.rs
+++ b/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! Scripted peers: servers on loopback sockets that answer as a test says.
+//! Scripted peers: HTTP/1.1 servers on loopback sockets whose responses are defined by a test.
 
 use super::{HANG_TIMEOUT, Message};
 use socket2::{Domain, Socket, Type};
@@ -7,73 +7,75 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::thread;
 
-/// A connection as a script writes to it.
-pub struct Conn(pub TcpStream);
+/// A peer's end of an accepted connection.
+pub struct PeerConnection {
+    pub stream: TcpStream,
+}
 
-impl Conn {
-    /// Sends a response; `headers` are whole lines.
-    pub fn answer(&mut self, status: &str, headers: &str, body: &str) {
+impl PeerConnection {
+    /// Sends a response with a `content-length`. `headers` are complete lines with their line ends.
+    pub fn respond(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
-        let _ = write!(self.0, "HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}");
+        let _ = write!(self.stream, "HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}");
     }
 
     /// Sends the head of an event stream.
     pub fn begin_stream(&mut self) {
         let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
-        let _ = self.0.write_all(head.as_bytes());
+        let _ = self.stream.write_all(head.as_bytes());
     }
 
-    /// Sends a chunk of the body.
-    pub fn chunk(&mut self, data: &str) {
-        let _ = write!(self.0, "{:x}\r\n{data}\r\n", data.len());
+    /// Sends a chunk of a chunked body.
+    pub fn send_chunk(&mut self, data: &str) {
+        let _ = write!(self.stream, "{:x}\r\n{data}\r\n", data.len());
     }
 
-    /// Sends an event of the stream.
-    pub fn event(&mut self, data: &str) {
-        self.chunk(&format!("data: {data}\n\n"));
+    /// Sends a server-sent event.
+    pub fn send_event(&mut self, data: &str) {
+        self.send_chunk(&format!("data: {data}\n\n"));
     }
 
-    /// Sends an event with more of the answer's text.
-    pub fn delta(&mut self, text: &str) {
-        self.event(&format!(
+    /// Sends an event with a delta of the completion's text.
+    pub fn send_delta(&mut self, text: &str) {
+        self.send_event(&format!(
             r#"{{"choices":[{{"index":0,"delta":{{"content":"{text}"}},"finish_reason":null}}]}}"#
         ));
     }
 
-    /// Ends the event stream in order, with its token counts.
+    /// Ends the event stream properly: with its token counts, `[DONE]` and the last chunk.
     pub fn end_stream(&mut self) {
-        self.event(
+        self.send_event(
             r#"{"choices":[],"usage":{"prompt_tokens":9,"prompt_tokens_details":{"cached_tokens":4}}}"#,
         );
-        self.event("[DONE]");
-        let _ = self.0.write_all(b"0\r\n\r\n");
+        self.send_event("[DONE]");
+        let _ = self.stream.write_all(b"0\r\n\r\n");
     }
 
-    /// Blocks until the other side closes the connection, in order or by a reset, or sends more than one byte; whether
-    /// it closed.
-    pub fn is_closed(&mut self) -> bool {
-        let _ = self.0.set_read_timeout(Some(HANG_TIMEOUT));
-        let mut at_end = || match self.0.read(&mut [0]) {
+    /// Blocks until the router closes or resets the connection, or sends more than one byte. Returns whether
+    /// it closed the connection.
+    pub fn wait_for_close(&mut self) -> bool {
+        let _ = self.stream.set_read_timeout(Some(HANG_TIMEOUT));
+        let mut is_closed = || match self.stream.read(&mut [0]) {
             Ok(bytes) => bytes == 0,
             Err(error) => error.kind() == ErrorKind::ConnectionReset,
         };
-        at_end() || at_end()
+        is_closed() || is_closed()
     }
 }
 
-/// Answers a message, and says whether the connection stays open.
-type Script = dyn Fn(&Message, &mut Conn) -> bool + Send + Sync;
+/// Responds to a request, and returns whether the connection stays open.
+type Script = dyn Fn(&Message, &mut PeerConnection) -> bool + Send + Sync;
 
 /// A scripted server.
 pub struct Peer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Peer {
-    /// Starts a server. The script answers each message, and says whether the connection stays open.
-    pub fn start(script: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static) -> Peer {
+    /// Starts a server. The script responds to each request, and returns whether the connection stays open.
+    pub fn start(script: impl Fn(&Message, &mut PeerConnection) -> bool + Send + Sync + 'static) -> Peer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let script: Arc<Script> = Arc::new(script);
@@ -83,7 +85,7 @@
             for stream in listener.incoming().flatten() {
                 let _ = stream.set_nodelay(true);
                 let mut connections = connections.lock().unwrap();
-                connections.retain(|other: &TcpStream| other.peer_addr().is_ok());
+                connections.retain(|stream: &TcpStream| stream.peer_addr().is_ok());
                 connections.push(stream.try_clone().unwrap());
                 drop(connections);
                 let script = script.clone();
@@ -93,27 +95,27 @@
         peer
     }
 
-    /// Breaks all of its connections, as the death of its process would.
+    /// Closes all of its connections, as the kernel does when a process is killed.
     pub fn kill(&self) {
         for stream in self.connections.lock().unwrap().drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// A prefill worker that accepts whatever it is sent.
+    /// Starts a prefill worker that accepts every request.
     pub fn prefill_worker() -> Peer {
         Peer::start(|message, conn| {
-            match message.line.split(' ').next() {
-                Some("POST") => conn.answer("202 Accepted", "", r#"{"cached_tokens":4}"#),
-                _ => conn.answer("204 No Content", "", ""),
+            match message.start_line.split(' ').next() {
+                Some("POST") => conn.respond("202 Accepted", "", r#"{"cached_tokens":4}"#),
+                _ => conn.respond("204 No Content", "", ""),
             }
             true
         })
     }
 
-    /// An address that refuses connections for as long as the tests run: bound, so that no other test is given its
-    /// port, and not listening.
-    pub fn nobody() -> SocketAddr {
+    /// Returns an address that refuses connections until the test process ends. Its socket stays bound, so that
+    /// no other test gets the port, but does not listen.
+    pub fn refusing_address() -> SocketAddr {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
@@ -121,66 +123,69 @@
         address
     }
 
-    /// An address that nothing is bound to: on a loopback address of its own, whose ports no other test is given.
+    /// Returns an unbound address, on a loopback IP address that no other test binds ports on.
     pub fn unbound_address() -> SocketAddr {
         TcpListener::bind("127.0.0.2:0").unwrap().local_addr().unwrap()
     }
 }
 
 fn serve_connection(stream: TcpStream, script: &Script) {
-    let mut from = BufReader::new(stream.try_clone().unwrap());
-    let mut conn = Conn(stream);
-    while let Some(message) = Message::read(&mut from) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    let mut conn = PeerConnection { stream };
+    while let Some(message) = Message::read(&mut reader) {
         if !script(&message, &mut conn) {
             break;
         }
     }
-    let _ = conn.0.shutdown(Shutdown::Both);
+    let _ = conn.stream.shutdown(Shutdown::Both);
 }
 
-/// A peer that records the first line of every request, answers releases, and leaves the other requests to `act`.
+/// Starts a peer that records all request lines, acknowledges cache releases, and passes other requests to
+/// `script`. Returns it and the receiver of the request lines.
 pub fn recording_peer(
-    act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+    script: impl Fn(&Message, &mut PeerConnection) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<String>) {
     recording_peer_with_releases(move |message, conn| {
-        if message.line.starts_with("DELETE") {
-            conn.answer("204 No Content", "", "");
+        if message.start_line.starts_with("DELETE") {
+            conn.respond("204 No Content", "", "");
             return true;
         }
-        act(message, conn)
+        script(message, conn)
     })
 }
 
-/// A peer that records the first line of every request, releases included, and answers as `act` says.
+/// Starts a peer that records all request lines, and passes all requests, including cache releases, to
+/// `script`. Returns it and the receiver of the request lines.
 pub fn recording_peer_with_releases(
-    act: impl Fn(&Message, &mut Conn) -> bool + Send + Sync + 'static,
+    script: impl Fn(&Message, &mut PeerConnection) -> bool + Send + Sync + 'static,
 ) -> (Peer, mpsc::Receiver<String>) {
-    let (record, lines) = shared_channel();
+    let (record, request_lines) = shared_channel();
     let peer = Peer::start(move |message, conn| {
-        record(message.line.clone());
-        act(message, conn)
+        record(message.start_line.clone());
+        script(message, conn)
     });
-    (peer, lines)
+    (peer, request_lines)
 }
 
-/// A discovery agent that sends the lines of a channel on the watch, as they come.
+/// Starts a discovery agent that forwards the lines of a channel to its watch. Returns it and the channel's
+/// sender.
 pub fn discovery_agent() -> (Peer, mpsc::Sender<String>) {
-    let (lines, watched) = mpsc::channel::<String>();
-    let watched = Mutex::new(watched);
+    let (line_sender, lines) = mpsc::channel::<String>();
+    let lines = Mutex::new(lines);
     let agent = Peer::start(move |message, conn| {
-        if !message.line.contains("watch=1") {
+        if !message.start_line.contains("watch=1") {
             return true;
         }
         conn.begin_stream();
-        while let Ok(line) = watched.lock().unwrap().recv() {
-            conn.chunk(&line);
+        while let Ok(line) = lines.lock().unwrap().recv() {
+            conn.send_chunk(&line);
         }
         false
     });
-    (agent, lines)
+    (agent, line_sender)
 }
 
-/// A channel whose sender the threads of a script may share.
+/// Creates a channel whose sender can be shared by the threads of a script.
 pub fn shared_channel() -> (Arc<dyn Fn(String) + Send + Sync>, mpsc::Receiver<String>) {
     let (sender, receiver) = mpsc::channel();
     let sender = Mutex::new(sender);
--- a/tests/support/router_process.rs
+++ b/tests/support/router_process.rs
@@ -1,4 +1,4 @@
-//! The router as a process of its own, with its log and its counters.
+//! A router process under test, with its log and its counters.
 
 use super::{HANG_TIMEOUT, Message, request, rpc_request};
 use std::fs::DirEntry;
@@ -11,33 +11,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// Descriptors that a router is granted where the test does not say.
-const DESCRIPTORS: usize = 1024;
+/// The file descriptor limit of a router whose test does not set one.
+pub const MAX_DESCRIPTORS: usize = 1024;
 
-/// A router under test. Dropping it kills the process.
+/// A router process, which is killed on drop.
 pub struct RouterProcess {
     child: Child,
-    /// Where it serves clients.
+    /// The address of its client listener.
     pub address: SocketAddr,
     log: mpsc::Receiver<String>,
-    /// While a test holds this lock nobody reads the log.
+    /// While a test holds this lock, the log is not read.
     pub log_reading: Arc<Mutex<()>>,
     operator_file: PathBuf,
 }
 
 impl RouterProcess {
-    /// Starts a router with this operator's file, and waits until it serves.
+    /// Starts a router with this operator's file, and waits until it serves requests.
     pub fn start(operator_file: &str) -> RouterProcess {
-        RouterProcess::start_within(DESCRIPTORS, operator_file)
+        RouterProcess::start_with_descriptor_limit(MAX_DESCRIPTORS, operator_file)
     }
 
-    /// Starts it where the system grants no more than so many descriptors.
-    pub fn start_within(descriptors: usize, operator_file: &str) -> RouterProcess {
-        RouterProcess::start_in(descriptors, operator_file, &[])
+    /// Starts a router with a file descriptor limit.
+    pub fn start_with_descriptor_limit(descriptors: usize, operator_file: &str) -> RouterProcess {
+        RouterProcess::start_with_environment(descriptors, operator_file, &[])
     }
 
-    /// Starts it with more variables in its environment.
-    pub fn start_in(descriptors: usize, operator_file: &str, environment: &[(&str, &Path)]) -> RouterProcess {
+    /// Starts a router with a file descriptor limit and additional environment variables.
+    pub fn start_with_environment(
+        descriptors: usize,
+        operator_file: &str,
+        environment: &[(&str, &Path)],
+    ) -> RouterProcess {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let file = std::env::temp_dir().join(format!("llm-router-{}-{number}.toml", std::process::id()));
@@ -53,19 +57,19 @@
         let log = read_log(child.stderr.take().unwrap(), log_reading.clone());
         let address = "127.0.0.1:1".parse().unwrap();
         let mut router = RouterProcess { child, address, log, log_reading, operator_file: file };
-        let line = router.wait_for("serves on ");
+        let line = router.wait_for_log_line("serves on ");
         let address = line.split("serves on ").nth(1).unwrap().split(',').next().unwrap();
         router.address = address.parse().unwrap();
         router
     }
 
-    /// Waits for the next line of the log with this text.
-    pub fn wait_for(&self, text: &str) -> String {
-        self.lines_to(text).pop().unwrap_or_default()
+    /// Waits for the next log line that contains this text, and returns it.
+    pub fn wait_for_log_line(&self, text: &str) -> String {
+        self.log_lines_until(text).pop().unwrap_or_default()
     }
 
-    /// The lines of the log up to the next one with this text.
-    pub fn lines_to(&self, text: &str) -> Vec<String> {
+    /// Waits for the next log line that contains this text. Returns the lines up to and including it.
+    pub fn log_lines_until(&self, text: &str) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
         while !lines.last().is_some_and(|line| line.contains(text)) {
             let line = self.log.recv_timeout(HANG_TIMEOUT);
@@ -74,24 +78,24 @@
         lines
     }
 
-    /// Replaces its operator's file and signals it to reload.
+    /// Replaces the operator's file and sends SIGHUP.
     pub fn reload(&self, operator_file: &str) {
         std::fs::write(&self.operator_file, operator_file).unwrap();
         self.signal("-HUP");
     }
 
-    /// Sends it a signal, named as `kill` names it.
+    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// The id of the process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The CPU time that its threads have used so far.
+    /// The CPU time that its threads have used.
     pub fn cpu_time(&self) -> Duration {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).unwrap();
         let nanoseconds = |thread: DirEntry| -> u64 {
@@ -101,32 +105,32 @@
         Duration::from_nanos(threads.map(|thread| nanoseconds(thread.unwrap())).sum())
     }
 
-    /// Stops it gracefully; its counters.
+    /// Shuts the router down gracefully and returns its counters.
     pub fn stop(mut self) -> Counters {
         self.signal("-TERM");
-        let line = self.wait_for("stopped; counters:");
+        let line = self.wait_for_log_line("stopped; counters:");
         assert!(self.child.wait().unwrap().success());
         Counters(line)
     }
 
-    /// A client's connection to it.
+    /// Opens a client connection.
     pub fn connect(&self) -> TcpStream {
         connect(self.address)
     }
 
-    /// Sends bytes as they are on a new connection, and reads one response.
-    pub fn raw(&self, bytes: &[u8]) -> Message {
+    /// Sends bytes unchanged on a new connection, and reads one response.
+    pub fn send_raw(&self, bytes: &[u8]) -> Message {
         exchange(self.address, bytes)
     }
 
-    /// Sends a request on the platform's path, and reads the response.
+    /// Sends a chat completion request on a new connection, and reads the response.
     pub fn request(&self, id: &str, class: &str) -> Message {
-        self.raw(request(id, class, "hello").as_bytes())
+        self.send_raw(request(id, class, "hello").as_bytes())
     }
 
-    /// Sends a JSON-RPC message, and reads the response.
+    /// Sends a JSON-RPC message on a new connection, and reads the response.
     pub fn rpc(&self, body: &str) -> Message {
-        self.raw(rpc_request(body).as_bytes())
+        self.send_raw(rpc_request(body).as_bytes())
     }
 }
 
@@ -138,7 +142,7 @@
     }
 }
 
-/// A client's connection to a router.
+/// Opens a client connection to a router.
 fn connect(router: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(router).unwrap();
     stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
@@ -146,19 +150,20 @@
     stream
 }
 
-/// Sends bytes as they are to a router on a new connection, and reads one response; an empty one if none comes.
+/// Sends bytes unchanged to a router on a new connection, and reads one response. Returns an empty message if
+/// the connection ends without one.
 pub fn exchange(router: SocketAddr, bytes: &[u8]) -> Message {
     let mut stream = connect(router);
     stream.write_all(bytes).unwrap();
     Message::read(&mut BufReader::new(stream)).unwrap_or_default()
 }
 
-/// Reads a log in a thread of its own, line by line while nobody holds the lock.
+/// Starts a thread that reads the log line by line whenever the lock is free.
 fn read_log(log: ChildStderr, log_reading: Arc<Mutex<()>>) -> mpsc::Receiver<String> {
     let (sender, lines) = mpsc::channel();
     thread::spawn(move || {
         for line in BufReader::new(log).lines().map_while(Result::ok) {
-            let _reading = log_reading.lock();
+            let _guard = log_reading.lock();
             if sender.send(line).is_err() {
                 return;
             }
@@ -167,11 +172,11 @@
     lines
 }
 
-/// The log line with a router's counters.
+/// A router's counters, in the log line that prints them.
 pub struct Counters(pub String);
 
 impl Counters {
-    /// The value of a counter; panics if there is none of this name.
+    /// The value of a counter. Panics if there is no counter of this name.
     pub fn get(&self, name: &str) -> u64 {
         let mut pairs = self.0.split(' ');
         let value = pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse().ok());
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,4 +1,5 @@
-//! The server side alone, in the process of the test: a listener whose driver is played by the test.
+//! An HTTP server in the test process: the router's client side without its driver, whose inputs the test
+//! receives.
 #![allow(dead_code)]
 
 use llm_router::frontend::context::ServiceContext;
@@ -17,17 +18,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// A health check.
-pub const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n";
+/// A complete health check request.
+pub const HEALTH_CHECK_REQUEST: &[u8] = b"GET /healthz HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// No reset takes this long to be delivered on loopback.
+/// The timeout for the delivery of a reset, which takes less on loopback.
 const RESET_DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The limits that a server is built with.
+/// The limits of a server.
 pub struct Options {
-    /// The most client connections.
+    /// The maximum number of client connections.
     pub max_connections: usize,
-    /// The memory that request bodies may take, in bytes.
+    /// The memory budget of request bodies, in bytes.
     pub body_memory: usize,
 }
 
@@ -37,22 +38,22 @@
     }
 }
 
-/// The server side before it accepts, on a socket of its own.
+/// A server whose socket listens, but that does not accept connections yet.
 pub struct Server {
     pub socket: TcpListener,
     pub listener: Listener<RequestService>,
     pub shutdown: watch::Sender<ShutdownPhase>,
     pub connections: Rc<Connections>,
-    pub driver: mpsc::UnboundedReceiver<DriverInput>,
+    pub driver_inputs: mpsc::UnboundedReceiver<DriverInput>,
 }
 
 impl Server {
-    pub async fn start() -> Server {
-        Server::start_with(Options::default()).await
+    pub async fn bind() -> Server {
+        Server::bind_with(Options::default()).await
     }
 
-    pub async fn start_with(options: Options) -> Server {
-        let (handle, driver) = DriverHandle::channel(Clock::start());
+    pub async fn bind_with(options: Options) -> Server {
+        let (handle, driver_inputs) = DriverHandle::channel(Clock::start());
         let counters = Rc::<Counters>::default();
         let context = ServiceContext {
             driver: handle,
@@ -73,19 +74,19 @@
             counters,
         };
         let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Server { socket, listener, shutdown, connections, driver }
+        Server { socket, listener, shutdown, connections, driver_inputs }
     }
 
     pub async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.socket.local_addr().unwrap()).await.unwrap()
     }
 
-    /// Accepts connections from now on.
+    /// Starts to accept connections.
     pub fn run(self) -> RunningServer {
-        let Server { socket, listener, shutdown, connections, driver } = self;
+        let Server { socket, listener, shutdown, connections, driver_inputs } = self;
         let address = socket.local_addr().unwrap();
         tokio::task::spawn_local(listener.accept(socket));
-        RunningServer { address, shutdown, connections, driver }
+        RunningServer { address, shutdown, connections, driver_inputs }
     }
 }
 
@@ -94,10 +95,10 @@
     pub address: std::net::SocketAddr,
     pub shutdown: watch::Sender<ShutdownPhase>,
     pub connections: Rc<Connections>,
-    pub driver: mpsc::UnboundedReceiver<DriverInput>,
+    pub driver_inputs: mpsc::UnboundedReceiver<DriverInput>,
 }
 
-/// A request as it is submitted to the driver.
+/// A request as submitted to the driver.
 pub struct SubmittedRequest {
     pub spec: RequestSpec,
     pub forwarded: Rc<ForwardedRequest>,
@@ -109,39 +110,39 @@
         TcpStream::connect(self.address).await.unwrap()
     }
 
-    /// The next request that is submitted to the driver.
+    /// Waits for the next request that is submitted to the driver.
     pub async fn next_request(&mut self) -> SubmittedRequest {
         loop {
             if let DriverInput::RequestReceived { spec, forwarded, responder, .. } =
-                self.driver.recv().await.unwrap()
+                self.driver_inputs.recv().await.unwrap()
             {
                 return SubmittedRequest { spec, forwarded, responder };
             }
         }
     }
 
-    /// The next request whose client is reported to the driver as disconnected.
+    /// Waits for the next request whose client is reported to the driver as disconnected.
     pub async fn next_disconnected(&mut self) -> RequestId {
         loop {
-            if let DriverInput::ClientDisconnected(request) = self.driver.recv().await.unwrap() {
+            if let DriverInput::ClientDisconnected(request) = self.driver_inputs.recv().await.unwrap() {
                 return request;
             }
         }
     }
 
-    /// Waits until every connection has ended.
-    pub async fn all_closed(&self) {
+    /// Waits until all connections are closed.
+    pub async fn wait_until_all_closed(&self) {
         while self.connections.count() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-/// Whether the connection was reset: its last bytes were never read. After an end of the stream the system reports a
-/// reset as a broken pipe.
+/// Returns whether the connection was reset, which means that the server did not read the last bytes sent. After
+/// the end of the stream, the kernel reports a reset as a broken pipe.
 ///
-/// On a busy machine the system delivers a reset a little later than the close that causes it, which paused time does
-/// not tell: it is waited for in real time.
+/// On a busy machine the kernel delivers a reset slightly after the close that causes it. Tokio's paused clock
+/// does not cover this delay, so the function waits in real time.
 pub fn was_reset(client: &TcpStream) -> bool {
     let deadline = Instant::now() + RESET_DELIVERY_TIMEOUT;
     loop {
@@ -156,21 +157,21 @@
     }
 }
 
-/// The same socket for blocking calls, during which the runtime does not run.
-pub fn blocking(client: TcpStream) -> std::net::TcpStream {
+/// Converts a socket to a blocking one. The async runtime does not run during its calls.
+pub fn into_blocking(client: TcpStream) -> std::net::TcpStream {
     let client = client.into_std().unwrap();
     client.set_nonblocking(false).unwrap();
     client
 }
 
-/// Everything that the client receives up to the end of the connection.
+/// Reads until the connection ends, and returns everything received.
 pub fn read_to_close(client: &mut std::net::TcpStream) -> String {
     let mut text = Vec::new();
     let _ = client.read_to_end(&mut text);
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Runs a test on one thread, where it may spawn local tasks.
-pub async fn on_one_thread(test: impl Future<Output = ()>) {
+/// Runs a test in a `LocalSet`, as the router runs its tasks.
+pub async fn run_local(test: impl Future<Output = ()>) {
     tokio::task::LocalSet::new().run_until(test).await;
 }
--- a/tests/support/shim.rs
+++ b/tests/support/shim.rs
@@ -1,6 +1,6 @@
 //! A router process with the fault shim preloaded, whose system calls a test can make fail.
 
-use super::RouterProcess;
+use super::{MAX_DESCRIPTORS, RouterProcess};
 use fault_plan::{CONTROL_FILE_VARIABLE, ControlBlock, SystemCallFault};
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -8,10 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// The file descriptor limit of the router.
-const MAX_DESCRIPTORS: usize = 1024;
-
-/// A router process with the fault shim preloaded.
+/// A router process whose system calls can be made to fail.
 pub struct ShimmedRouter {
     /// The router process.
     pub router: RouterProcess,
@@ -20,7 +17,7 @@
     _control_file: ControlFile,
 }
 
-/// The path of the file that holds the control block. The file is removed on drop.
+/// The path of the control block's file, which is removed on drop.
 struct ControlFile(PathBuf);
 
 impl ShimmedRouter {
@@ -56,7 +53,7 @@
 
 fn start_shimmed(operator_file: &str, control_file: &ControlFile) -> RouterProcess {
     let environment = [("LD_PRELOAD", shim_library()), (CONTROL_FILE_VARIABLE, control_file.0.as_path())];
-    RouterProcess::start_in(MAX_DESCRIPTORS, operator_file, &environment)
+    RouterProcess::start_with_environment(MAX_DESCRIPTORS, operator_file, &environment)
 }
 
 impl ControlFile {
@@ -75,7 +72,7 @@
     }
 }
 
-/// Builds the shim once, and returns the path of its library in the router's folder.
+/// Builds the shim once. Returns the path of its library, which is in the directory of the router's binary.
 fn shim_library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/tests/support/tool_server.rs
+++ b/tests/support/tool_server.rs
@@ -1,6 +1,6 @@
 //! A scripted tool server, and decode workers that call tools.
 
-use super::{Conn, Message, Peer, RouterProcess, operator_file};
+use super::{Message, Peer, PeerConnection, RouterProcess, operator_file};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
@@ -23,7 +23,7 @@
             let key = message.header("idempotency-key").unwrap().to_owned();
             assert!(message.text().contains(&format!(r#""id":"{key}""#)));
             *execution_counts.lock().unwrap().entry(key.clone()).or_insert(0) += 1;
-            conn.answer("200 OK", "", &format!(r#"{{"jsonrpc":"2.0","id":"{key}",{}}}"#, tool()));
+            conn.respond("200 OK", "", &format!(r#"{{"jsonrpc":"2.0","id":"{key}",{}}}"#, tool()));
             true
         });
         ToolServer { peer, executions }
@@ -48,7 +48,7 @@
 }
 
 impl ToolResults {
-    /// Stores a result for the stream that waits for it.
+    /// Stores the result of a request's tool call, and wakes the stream that waits for it.
     pub fn put(&self, id: &str, result: String) {
         self.by_id.lock().unwrap().insert(id.to_owned(), result);
         self.changed.notify_all();
@@ -62,43 +62,43 @@
     }
 
     /// Stores and acknowledges the tool result in a message. Returns whether the message had one.
-    pub fn accept(&self, message: &Message, conn: &mut Conn) -> bool {
+    pub fn accept(&self, message: &Message, conn: &mut PeerConnection) -> bool {
         let Some(id) = tool_result_id(message) else { return false };
         self.put(id, message.text());
-        conn.answer("204 No Content", "", "");
+        conn.respond("204 No Content", "", "");
         true
     }
 }
 
 /// The request id in the path of a message that posts a tool result; `None` for other messages.
 pub fn tool_result_id(message: &Message) -> Option<&str> {
-    message.line.split(' ').nth(1)?.strip_prefix("/internal/tool-results/")
+    message.start_line.split(' ').nth(1)?.strip_prefix("/internal/tool-results/")
 }
 
-/// Starts a decode worker that calls a tool after the first chunk of its answer, and streams the tool's
-/// result as the last.
+/// Starts a decode worker that calls a tool after the first event of its stream, and streams the tool's result
+/// as the last delta.
 pub fn tool_calling_worker(call: &'static str) -> Peer {
     let results = ToolResults::default();
     Peer::start(move |message, conn| {
         if results.accept(message, conn) {
             return true;
         }
-        if message.line.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             conn.begin_stream();
-            conn.delta("before ");
-            conn.event(call);
+            conn.send_delta("before ");
+            conn.send_event(call);
             let result = results.take(message.header("x-request-id").unwrap());
-            conn.delta(&result.replace('"', "'"));
+            conn.send_delta(&result.replace('"', "'"));
             conn.end_stream();
         } else {
-            conn.answer("204 No Content", "", "");
+            conn.respond("204 No Content", "", "");
         }
         true
     })
 }
 
-/// Starts a router with these workers and this tool server. `limits` is appended to the configuration's
-/// `tools` table.
+/// Starts a router with these workers and this tool server. `limits` is appended to the `tools` table of the
+/// configuration.
 pub fn start_router(
     prefill_worker: SocketAddr,
     decode_workers: &[SocketAddr],
@@ -109,7 +109,7 @@
     RouterProcess::start(&operator_file(&[prefill_worker], decode_workers, &tools))
 }
 
-/// A JSON-RPC completion request of this name. `extra` is appended to its parameters.
+/// Returns a JSON-RPC completion request with this name. `extra` is appended to its parameters.
 pub fn completion_request(name: &str, extra: &str) -> String {
     format!(
         r#"{{"jsonrpc":"2.0","id":1,"method":"send","params":{{"request":"{name}","deadline_ms":8000,"messages":[]{extra}}}}}"#
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -1,141 +1,143 @@
-//! Workers with the scripts that several tests need.
+//! Scripted workers that several tests use.
 
-use super::peer::{Conn, Peer, recording_peer, shared_channel};
+use super::peer::{Peer, PeerConnection, recording_peer, shared_channel};
 use super::{HANG_TIMEOUT, Message};
 use std::sync::{Mutex, mpsc};
 
-/// A decode worker that streams one answer.
+/// Starts a decode worker that streams a completion of two deltas.
 pub fn decode_worker() -> Peer {
     Peer::start(|_, conn| {
         conn.begin_stream();
-        conn.delta("one");
-        conn.delta("two");
+        conn.send_delta("one");
+        conn.send_delta("two");
         conn.end_stream();
         true
     })
 }
 
-/// A decode worker that streams one answer, and the messages that it was sent.
+/// Starts a decode worker that streams a completion and records its requests. Returns it and the receiver of the
+/// requests.
 pub fn recording_decode_worker() -> (Peer, mpsc::Receiver<Message>) {
-    let (record, messages) = mpsc::channel();
+    let (record, requests) = mpsc::channel();
     let record = Mutex::new(record);
     let worker = Peer::start(move |message, conn| {
         record.lock().unwrap().send(message.clone()).unwrap();
         conn.begin_stream();
-        conn.delta("one");
+        conn.send_delta("one");
         conn.end_stream();
         true
     });
-    (worker, messages)
+    (worker, requests)
 }
 
-/// The script of a decode worker that closes the connection on a release.
-pub fn decode_worker_without_release(message: &Message, conn: &mut Conn) -> bool {
-    let is_request = message.line.starts_with("POST");
+/// The script of a decode worker that closes the connection when it receives a cache release.
+pub fn decode_worker_without_release(message: &Message, conn: &mut PeerConnection) -> bool {
+    let is_request = message.start_line.starts_with("POST");
     if is_request {
         conn.begin_stream();
-        conn.delta("one");
+        conn.send_delta("one");
         conn.end_stream();
     }
     is_request
 }
 
-/// A decode worker that streams the first part of an answer, and the rest once its gate is open. The gate stays open
-/// then, and opens too when this is dropped.
+/// A decode worker that streams the first delta of a completion, and ends the stream once its gate is open. An
+/// open gate stays open, and dropping this opens it too.
 pub struct GatedDecodeWorker {
-    /// The worker.
     pub peer: Peer,
     started: mpsc::Receiver<String>,
     gate: mpsc::Sender<()>,
 }
 
 impl GatedDecodeWorker {
-    /// Starts a worker whose gate is shut.
+    /// Starts a worker whose gate is closed.
     pub fn start() -> GatedDecodeWorker {
         let (report_start, started) = shared_channel();
-        let (gate, opened) = mpsc::channel();
-        let opened = Mutex::new(opened);
+        let (gate, gate_opened) = mpsc::channel();
+        let gate_opened = Mutex::new(gate_opened);
         let peer = Peer::start(move |_, conn| {
             conn.begin_stream();
-            conn.delta("one");
+            conn.send_delta("one");
             report_start("".into());
-            // Nothing is ever sent: this waits until the sender is gone.
-            let _ = opened.lock().unwrap().recv();
+            // Nothing is sent on this channel: the call returns when the sender is dropped.
+            let _ = gate_opened.lock().unwrap().recv();
             conn.end_stream();
             true
         });
         GatedDecodeWorker { peer, started, gate }
     }
 
-    /// Waits until it has streamed the first part of an answer.
+    /// Waits until the worker has streamed the first delta of a completion.
     pub fn wait_for_stream(&self) {
         self.started.recv_timeout(HANG_TIMEOUT).unwrap();
     }
 
-    /// Lets it end its streams, this one and all later ones; the worker stays.
+    /// Lets the worker end all current and later streams, and returns the worker.
     pub fn open_gate(self) -> Peer {
         drop(self.gate);
         self.peer
     }
 }
 
-/// A worker of any role that answers releases, but holds every other request until the router closes the connection.
+/// A worker of any role that acknowledges cache releases, and leaves every other request pending until the router
+/// closes the connection.
 pub struct HangingWorker {
-    /// The worker.
     pub peer: Peer,
-    lines: mpsc::Receiver<String>,
-    held: mpsc::Receiver<String>,
+    request_lines: mpsc::Receiver<String>,
+    pending: mpsc::Receiver<String>,
     closed: mpsc::Receiver<String>,
 }
 
 impl HangingWorker {
-    /// A worker that sends nothing.
+    /// Starts a worker that sends nothing.
     pub fn start() -> HangingWorker {
         HangingWorker::start_after(|_| ())
     }
 
-    /// A worker that begins an answer before it hangs.
+    /// Starts a worker that streams the first delta of a completion before it hangs.
     pub fn start_streaming() -> HangingWorker {
         HangingWorker::start_after(|conn| {
             conn.begin_stream();
-            conn.delta("one");
+            conn.send_delta("one");
         })
     }
 
-    fn start_after(first: impl Fn(&mut Conn) + Send + Sync + 'static) -> HangingWorker {
-        let (report_held, held) = shared_channel();
+    /// Starts a worker that calls `begin_response` before it hangs.
+    fn start_after(begin_response: impl Fn(&mut PeerConnection) + Send + Sync + 'static) -> HangingWorker {
+        let (report_pending, pending) = shared_channel();
         let (report_closed, closed) = shared_channel();
-        let (peer, lines) = recording_peer(move |_, conn| {
-            first(conn);
-            report_held("".into());
-            report_closed(conn.is_closed().to_string());
+        let (peer, request_lines) = recording_peer(move |_, conn| {
+            begin_response(conn);
+            report_pending("".into());
+            report_closed(conn.wait_for_close().to_string());
             false
         });
-        HangingWorker { peer, lines, held, closed }
+        HangingWorker { peer, request_lines, pending, closed }
     }
 
-    /// Waits until it holds a request.
+    /// Waits until a request is pending at the worker.
     pub fn wait_for_request(&self) {
-        self.held.recv_timeout(HANG_TIMEOUT).unwrap();
+        self.pending.recv_timeout(HANG_TIMEOUT).unwrap();
     }
 
-    /// Waits until the connection of a held request ends; whether the router closed it.
+    /// Waits until the connection of a pending request ends. Returns whether the router closed it.
     pub fn router_closed_connection(&self) -> bool {
         self.closed.recv_timeout(2 * HANG_TIMEOUT).unwrap() == "true"
     }
 
-    /// Waits for a request with this beginning of its first line, and skips the ones before it; whether one came.
-    pub fn wait_for_line(&self, beginning: &str) -> bool {
-        while let Ok(line) = self.lines.recv_timeout(HANG_TIMEOUT) {
-            if line.starts_with(beginning) {
+    /// Waits for a request whose request line starts with `prefix`, and skips earlier ones. Returns whether it
+    /// arrived.
+    pub fn wait_for_request_line(&self, prefix: &str) -> bool {
+        while let Ok(line) = self.request_lines.recv_timeout(HANG_TIMEOUT) {
+            if line.starts_with(prefix) {
                 return true;
             }
         }
         false
     }
 
-    /// How many requests, releases not counted, have come since the last look.
+    /// The number of requests, without cache releases, that were received since the last call.
     pub fn requests_received(&self) -> usize {
-        self.lines.try_iter().filter(|line| line.starts_with("POST")).count()
+        self.request_lines.try_iter().filter(|line| line.starts_with("POST")).count()
     }
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -17,8 +17,8 @@
 /// Sends requests sequentially, and asserts that each gets a complete response.
 fn send_requests(router: &RouterProcess, requests: usize) {
     for number in 0..requests {
-        let answer = router.request(&format!("id-{number}"), "send");
-        assert_eq!((answer.status(), answer.whole), (200, true), "request {number}: {answer:?}");
+        let response = router.request(&format!("id-{number}"), "send");
+        assert_eq!((response.status(), response.is_complete), (200, true), "request {number}: {response:?}");
     }
 }
 
@@ -92,7 +92,7 @@
     send_requests(&shimmed.router, 1);
     let endpoint = r#"{"host":"answer-0","class":"answer","site":"here","health":"draining"}"#;
     updates.send(format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{endpoint}]}}\n")).unwrap();
-    shimmed.router.wait_for("answer-0 (answer, here, cell 0) is Draining");
+    shimmed.router.wait_for_log_line("answer-0 (answer, here, cell 0) is Draining");
     assert_eq!(shimmed.router.request("id-late", "send").status(), 503);
 }
 
--- a/tests/tool_replay.rs
+++ b/tests/tool_replay.rs
@@ -78,18 +78,18 @@
     }
 
     /// Serves one message as a decode worker.
-    fn serve(&self, message: &Message, conn: &mut Conn) -> bool {
+    fn serve(&self, message: &Message, conn: &mut PeerConnection) -> bool {
         if let Some(id) = tool_result_id(message) {
             return self.receive_result(id, message, conn);
         }
-        if message.line.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             return self.stream_answer(message, conn);
         }
-        conn.answer("204 No Content", "", "");
+        conn.respond("204 No Content", "", "");
         true
     }
 
-    fn receive_result(&self, id: &str, message: &Message, conn: &mut Conn) -> bool {
+    fn receive_result(&self, id: &str, message: &Message, conn: &mut PeerConnection) -> bool {
         self.results.put(id, message.text());
         // The crash is recorded before the connection closes: a resume that follows at once must not crash
         // here too.
@@ -97,22 +97,22 @@
         if *crash_point == Some(CrashPoint::ResultReceived) {
             return self.crash(&mut crash_point);
         }
-        conn.answer("204 No Content", "", "");
+        conn.respond("204 No Content", "", "");
         true
     }
 
-    fn stream_answer(&self, message: &Message, conn: &mut Conn) -> bool {
+    fn stream_answer(&self, message: &Message, conn: &mut PeerConnection) -> bool {
         let crash_point = *self.crash_point.lock().unwrap();
         let crash = || self.crash(&mut self.crash_point.lock().unwrap());
         conn.begin_stream();
         if !message.text().contains("resume") {
-            conn.delta("before ");
+            conn.send_delta("before ");
         }
         if crash_point == Some(CrashPoint::CallHalfWritten) {
-            conn.chunk(&format!("data: {}", &TOOL_CALL[..40]));
+            conn.send_chunk(&format!("data: {}", &TOOL_CALL[..40]));
             return crash();
         }
-        conn.event(TOOL_CALL);
+        conn.send_event(TOOL_CALL);
         match crash_point {
             Some(CrashPoint::CallWritten) => return crash(),
             Some(CrashPoint::ToolRunning | CrashPoint::ToolBlocked) => {
@@ -131,7 +131,7 @@
             _ => {}
         }
         assert!(result.contains(r#""result":"page text""#), "{result}");
-        conn.delta("after");
+        conn.send_delta("after");
         conn.end_stream();
         true
     }
@@ -157,13 +157,13 @@
         let name = format!("crash-{i}");
         script.arm(CRASH_POINTS[i as usize % CRASH_POINTS.len()]);
         let first = router.rpc(&completion_request(&name, ""));
-        assert!(!first.whole && first.text().contains("before "), "{i}: {}", first.text());
+        assert!(!first.is_complete && first.text().contains("before "), "{i}: {}", first.text());
         let mut rest = Message::default();
         // The workers that crashed are ejected for a while; the client retries until it is served.
         while rest.status() != 200 {
             rest = router.rpc(&completion_request(&name, r#","resume":{"calls":0,"text":"before "}"#));
         }
-        assert!(rest.whole && rest.text().contains(r#""text":"after""#), "{i}: {}", rest.text());
+        assert!(rest.is_complete && rest.text().contains(r#""text":"after""#), "{i}: {}", rest.text());
     }
     assert_eq!(script.crashes.load(Ordering::SeqCst), CRASHES);
     let executions = tools.executions();
@@ -186,21 +186,21 @@
         }
         let is_first = streams.fetch_add(1, Ordering::SeqCst) == 0;
         conn.begin_stream();
-        conn.event(if is_first {
+        conn.send_event(if is_first {
             TOOL_CALL
         } else {
             r#"{"jsonrpc":"2.0","id":2,"method":"page.fetch","params":{"page":2}}"#
         });
         let result = results.take(message.header("x-request-id").unwrap());
         if !is_first {
-            conn.delta(&result.replace('"', "'"));
+            conn.send_delta(&result.replace('"', "'"));
             conn.end_stream();
         }
         !is_first
     });
     let prefill = Peer::prefill_worker();
     let router = start_router(prefill.address, &[decode.address], tools.address(), "");
-    assert!(!router.rpc(&completion_request("k1", "")).whole);
+    assert!(!router.rpc(&completion_request("k1", "")).is_complete);
     let rest = router.rpc(&completion_request("k1", r#","resume":{"calls":0,"text":""}"#)).text();
     assert!(rest.contains("'code':-32012"), "{rest}");
     assert_eq!(tools.executions().iter().sum::<u32>(), 1);
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -35,9 +35,9 @@
     let tools = ToolServer::start(move || reply.to_owned());
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools.address(), limits);
-    let answer = router.rpc(&completion_request("r1", ""));
-    assert_eq!((answer.status(), answer.whole), (200, true), "{}", answer.text());
-    let lines: Vec<String> = answer.text().lines().map(str::to_owned).collect();
+    let response = router.rpc(&completion_request("r1", ""));
+    assert_eq!((response.status(), response.is_complete), (200, true), "{}", response.text());
+    let lines: Vec<String> = response.text().lines().map(str::to_owned).collect();
     assert_eq!(lines.len(), 5, "{lines:?}");
     assert_eq!(lines[0], r#"{"jsonrpc":"2.0","method":"delta","params":{"request":"r1","text":"before "}}"#);
     assert!(lines[1].contains(r#""ordinal":0,"state":"calling""#));
@@ -55,12 +55,12 @@
 #[case::unreachable(false, "'code':-32010")]
 #[case::no_response(true, "'code':-32011")]
 fn a_tool_call_without_a_response_ends_with_an_error(#[case] listens: bool, #[case] sent_to_worker: &str) {
-    let silent = Peer::start(|_, conn| !conn.is_closed());
-    let tools = if listens { silent.address } else { Peer::nobody() };
+    let silent = Peer::start(|_, conn| !conn.wait_for_close());
+    let tools = if listens { silent.address } else { Peer::refusing_address() };
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools, "call_timeout_ms = 300");
-    let answer = router.rpc(&completion_request("r1", "")).text();
-    assert!(answer.contains(sent_to_worker), "{answer}");
+    let response = router.rpc(&completion_request("r1", "")).text();
+    assert!(response.contains(sent_to_worker), "{response}");
 }
 
 #[rstest]
@@ -111,8 +111,10 @@
     #[case] status: u16,
     #[case] expected: &str,
 ) {
-    let answer = start_router(Peer::nobody(), &[Peer::nobody()], Peer::nobody(), "").rpc(body);
-    assert_eq!((answer.status(), answer.text().trim_end()), (status, expected));
+    let response =
+        start_router(Peer::refusing_address(), &[Peer::refusing_address()], Peer::refusing_address(), "")
+            .rpc(body);
+    assert_eq!((response.status(), response.text().trim_end()), (status, expected));
 }
 
 #[test]
@@ -121,24 +123,24 @@
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools.address(), "");
     let batch = format!("[{},{{}},{}]", completion_request("b1", ""), completion_request("b2", ""));
-    let answer = router.rpc(&batch).text();
-    assert_eq!(answer.matches(r#""finish":"stop","calls":1,"text":"before "#).count(), 2, "{answer}");
-    assert!(answer.contains(r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600"#), "{answer}");
+    let response = router.rpc(&batch).text();
+    assert_eq!(response.matches(r#""finish":"stop","calls":1,"text":"before "#).count(), 2, "{response}");
+    assert!(response.contains(r#"{"jsonrpc":"2.0","id":null,"error":{"code":-32600"#), "{response}");
 }
 
 #[test]
 fn cancelling_a_request_closes_its_worker_s_stream_and_sends_a_response() {
     let (report_closed, closed) = shared_channel();
     let decode = Peer::start(move |message, conn| {
-        if message.line.starts_with("POST") {
+        if message.start_line.starts_with("POST") {
             conn.begin_stream();
-            conn.delta("x");
-            report_closed(conn.is_closed().to_string());
+            conn.send_delta("x");
+            report_closed(conn.wait_for_close().to_string());
         }
         false
     });
     let prefill = Peer::prefill_worker();
-    let router = start_router(prefill.address, &[decode.address], Peer::nobody(), "");
+    let router = start_router(prefill.address, &[decode.address], Peer::refusing_address(), "");
     let mut stream = router.connect();
     stream.write_all(rpc_request(&completion_request("c1", "")).as_bytes()).unwrap();
     let mut client = BufReader::new(stream);
