--- a/examples/loopback_fleet.rs
+++ b/examples/loopback_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback to try the router with: a prefill worker, a decode worker and a tool server.
+//! A fleet on loopback for trying out the router: a prefill worker, a decode worker and a tool server.
 //!
 //! Its addresses are those of `deploy/operator.toml`:
 //!
@@ -25,16 +25,16 @@
 const DECODE_ADDRESS: &str = "127.0.0.1:9201";
 const TOOL_ADDRESS: &str = "127.0.0.1:9300";
 
-/// Where the router delivers the results of tool calls, before the request's id.
-const TOOL_RESULT_PATH: &str = "/internal/tool-results/";
-/// Time between two events of a stream.
+/// The path, up to the request id, to which the router posts the results of tool calls.
+const TOOL_RESULT_PATH_PREFIX: &str = "/internal/tool-results/";
+/// The delay before each event of a stream.
 const INTER_TOKEN_DELAY: Duration = Duration::from_millis(60);
-/// Events of a stream that wait to be written.
-const STREAM_BUFFER: usize = 4;
+/// The maximum number of events of a stream that are queued to be written.
+const MAX_QUEUED_EVENTS: usize = 4;
 
 type Body = http_body_util::combinators::UnsyncBoxBody<Bytes, Infallible>;
 type StreamEvent = Result<Frame<Bytes>, Infallible>;
-/// Streams that wait for the result of a tool call, by request id.
+/// The channels to streams that wait for the result of a tool call, by request id.
 type PendingToolCalls = Rc<RefCell<HashMap<String, oneshot::Sender<String>>>>;
 
 fn response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
@@ -43,55 +43,55 @@
     response
 }
 
-/// Accepts every prompt, and answers everything else with an empty response.
+/// Accepts every prefill request, and sends an empty response to everything else.
 async fn prefill_worker(request: Request<Incoming>) -> Response<Body> {
-    let is_prompt = request.method() == Method::POST;
+    let is_prefill = request.method() == Method::POST;
     let _ = request.into_body().collect().await;
-    if is_prompt {
+    if is_prefill {
         response(StatusCode::ACCEPTED, r#"{"cached_tokens":0}"#)
     } else {
         response(StatusCode::NO_CONTENT, "")
     }
 }
 
-/// Streams a few words; to a JSON-RPC request for the model `send`, with a tool call in between.
+/// Streams a short completion, which includes a tool call if the requested model is `send`.
 async fn decode_worker(request: Request<Incoming>, pending: PendingToolCalls) -> Response<Body> {
     let path = request.uri().path().to_owned();
     let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
     let is_post = request.method() == Method::POST;
     let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
     let body = String::from_utf8_lossy(&body).into_owned();
-    if let Some(id) = path.strip_prefix(TOOL_RESULT_PATH) {
+    if let Some(id) = path.strip_prefix(TOOL_RESULT_PATH_PREFIX) {
         return deliver_tool_result(id, body, &pending);
     }
     if !is_post {
         return response(StatusCode::NO_CONTENT, "");
     }
     let calls_tool = body.contains(r#""model":"send""#);
-    let (sender, events) = mpsc::channel(STREAM_BUFFER);
-    tokio::task::spawn_local(stream_answer(EventSender(sender), calls_tool.then_some(id), pending));
+    let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
+    tokio::task::spawn_local(stream_completion(EventSender(sender), calls_tool.then_some(id), pending));
     event_stream(events)
 }
 
-/// Hands the result of a tool call to the stream that waits for it.
+/// Passes the result of a tool call to the stream that waits for it.
 fn deliver_tool_result(id: &str, result: String, pending: &PendingToolCalls) -> Response<Body> {
-    let waiting = pending.borrow_mut().remove(id);
-    let is_delivered = waiting.is_some_and(|stream| stream.send(result).is_ok());
+    let stream = pending.borrow_mut().remove(id);
+    let is_delivered = stream.is_some_and(|stream| stream.send(result).is_ok());
     response(if is_delivered { StatusCode::NO_CONTENT } else { StatusCode::NOT_FOUND }, "")
 }
 
-/// The events of one stream, on their way to its client.
+/// Sends server-sent events to the body of one response.
 struct EventSender(mpsc::Sender<StreamEvent>);
 
 impl EventSender {
-    /// Sends a server-sent event. Nothing happens when the client has disconnected.
+    /// Sends an event, which is dropped if the client has disconnected.
     async fn send(&self, data: &str) {
         tokio::time::sleep(INTER_TOKEN_DELAY).await;
         let event = Frame::data(Bytes::from(format!("data: {data}\n\n")));
         let _ = self.0.send(Ok(event)).await;
     }
 
-    /// Sends a piece of the answer's text.
+    /// Sends a delta of the completion's text.
     async fn send_text(&self, text: &str) {
         let delta = serde_json::json!({
             "choices": [{"index": 0, "delta": {"content": text}, "finish_reason": null}]
@@ -100,12 +100,12 @@
     }
 }
 
-/// Streams an answer. `tool_call` is the id of a request whose answer needs the result of a tool call.
-async fn stream_answer(events: EventSender, tool_call: Option<String>, pending: PendingToolCalls) {
+/// Streams a completion. `tool_caller` is the id of the request if its completion includes a tool call.
+async fn stream_completion(events: EventSender, tool_caller: Option<String>, pending: PendingToolCalls) {
     for word in ["The ", "clause ", "says: "] {
         events.send_text(word).await;
     }
-    if let Some(id) = tool_call {
+    if let Some(id) = tool_caller {
         let (sender, result) = oneshot::channel();
         pending.borrow_mut().insert(id, sender);
         events.send(r#"{"jsonrpc":"2.0","id":"w1","method":"annex.fetch","params":{"page":1}}"#).await;
@@ -123,7 +123,7 @@
     response
 }
 
-/// A JSON-RPC tool that prints each call and answers all of them alike.
+/// A JSON-RPC tool server that prints each call and returns the same result for all of them.
 async fn tool_server(request: Request<Incoming>) -> Response<Body> {
     let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
     let call: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -1,4 +1,5 @@
-//! Attempts and cache releases that are cancelled, time out, or see the pool's idle connections closed.
+//! Attempts and cache releases that are cancelled, time out, or are in flight when the pool closes its idle
+//! connections.
 
 use crate::harness::*;
 use bytes::Bytes;
@@ -56,10 +57,10 @@
         attempt.forwarded =
             Rc::new(ForwardedRequest { body: worker.body.clone(), ..forwarded_request("id-1") });
         attempt.deadline = upstream.now() + timeout.unwrap_or(10 * SECOND);
-        let begun = attempt.write_started.clone();
+        let write_started = attempt.write_started.clone();
         upstream.client.send(attempt);
         for _ in 0..MAX_SCHEDULER_TURNS {
-            if begun.get() {
+            if write_started.get() {
                 break;
             }
             tokio::task::yield_now().await;
@@ -103,23 +104,23 @@
 /// Guards against a cache release that is sent after the next prefill of its request: it would remove the KV
 /// cache of that prefill.
 #[tokio::test]
-async fn a_stopped_release_writes_nothing_more() {
+async fn a_cancelled_release_writes_nothing_more() {
     run_local(async {
         let listener = FullListener::start();
         let upstream = UpstreamHarness::start(&[(WORKER, listener.address)], 1);
         let (release, request) = (Rc::<ReleaseProgress>::default(), Rc::new(forwarded_request("id-1")));
         upstream.client.release_cache(request.clone(), release.clone());
-        // The call of the release holds the only permit of the pool while it connects.
+        // While the release connects, it holds the only permit of the pool.
         while upstream.client.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         release.cancel();
-        // All tasks run on this thread and need no I/O to end, so these turns are enough.
+        // All tasks run on this thread and need no I/O to end, so 100 scheduler turns are sufficient.
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert_eq!(Rc::strong_count(&request), 1, "the release still runs");
-        assert_eq!(upstream.client.pool.available_connections(), 1, "the call still connects");
+        assert_eq!(Rc::strong_count(&request), 1, "the release is still running");
+        assert_eq!(upstream.client.pool.available_connections(), 1, "the release is still connecting");
     })
     .await;
 }
@@ -131,14 +132,14 @@
         let listener = FullListener::start();
         let mut upstream = UpstreamHarness::start(&[(WORKER, listener.address)], 1);
         let attempt = upstream.attempt(WORKER, "id-1");
-        let begun: Rc<Cell<bool>> = attempt.write_started.clone();
+        let write_started: Rc<Cell<bool>> = attempt.write_started.clone();
         upstream.client.send(attempt);
         while upstream.client.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         upstream.cancel = None;
         assert_eq!(upstream.next_outcome().await, Outcome::Cancelled);
-        assert!(!begun.get() && upstream.client.pool.available_connections() == 1);
+        assert!(!write_started.get() && upstream.client.pool.available_connections() == 1);
     })
     .await;
 }
@@ -191,9 +192,9 @@
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
         for id in ["id-1", "id-2"] {
             let attempt = upstream.attempt(WORKER, id);
-            let begun = attempt.write_started.clone();
+            let write_started = attempt.write_started.clone();
             upstream.client.send(attempt);
-            while !begun.get() {
+            while !write_started.get() {
                 tokio::task::yield_now().await;
             }
             upstream.client.pool.close_all_idle();
--- a/tests/attempts/harness.rs
+++ b/tests/attempts/harness.rs
@@ -19,7 +19,7 @@
 pub const SECOND: Micros = 1_000_000;
 /// The id of the only worker.
 pub const WORKER: &str = "a";
-/// The number of scheduler turns after which an expected event will not happen any more.
+/// The number of scheduler turns after which an expected event counts as missing.
 pub const MAX_SCHEDULER_TURNS: usize = 100_000;
 
 fn addressed_endpoint(worker: &str, address: SocketAddr) -> AddressedEndpoint {
--- a/tests/attempts/main.rs
+++ b/tests/attempts/main.rs
@@ -1,4 +1,5 @@
-//! Attempts, cache releases and pooled connections with one worker, with events forced between two steps.
+//! Attempts, cache releases and pooled connections of an upstream client with one worker. The tests force
+//! events, such as a disconnect, between two steps of an attempt.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/attempts/responses.rs
+++ b/tests/attempts/responses.rs
@@ -19,7 +19,7 @@
     run_local(async {
         let seen_peers = Mutex::new(HashSet::new());
         let (worker, received) = recording_worker(move |_, conn| {
-            // On a reused connection, the surplus response to the first request precedes the answer.
+            // On a reused connection, the surplus response to the first request precedes the expected one.
             if !seen_peers.lock().unwrap().insert(conn.stream.peer_addr().unwrap()) {
                 let _ = conn.stream.write_all(b"HTTP/1.1 500 Error\r\ncontent-length: 0\r\n\r\n");
             }
@@ -36,8 +36,8 @@
     .await;
 }
 
-/// Guards against a response that is accepted although it belongs to the other stage. A request id in its
-/// headers is ignored, because the protocol leaves it to the worker.
+/// Guards against accepting a response that belongs to the other stage. A request id in its headers is
+/// ignored, because the protocol lets the worker choose whether to send one.
 #[rstest]
 #[case::prefill_completed(Stage::Prefill, "202 Accepted", "", Outcome::PrefillCompleted)]
 #[case::stream_from_a_prefill_worker(Stage::Prefill, "200 OK", "", Outcome::WorkerError)]
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -75,14 +75,14 @@
     let mut sender = client.try_clone().unwrap();
     let head = format!("{HEAD}{line_start}");
     let part = repeated.repeat(4096);
-    let sent_whole = std::thread::spawn(move || {
+    let sent_completely = std::thread::spawn(move || {
         sender.write_all(head.as_bytes()).is_ok()
             && (0..2000).all(|_| sender.write_all(part.as_bytes()).is_ok())
     });
     let response = Message::read(&mut BufReader::new(&mut client)).unwrap_or_default();
     assert!(response.status() == 0 || (400..500).contains(&response.status()), "{}", response.start_line);
     drop(client);
-    assert!(!sent_whole.join().unwrap(), "the whole head was read");
+    assert!(!sent_completely.join().unwrap(), "the whole head was read");
     assert_eq!(router.stop().get("requests_received"), 0);
 }
 
@@ -94,9 +94,9 @@
     let router =
         RouterProcess::start(&operator_file(&[prefill_worker.address], &[decode_worker.address], ""));
     let mut client = BufReader::new(router.connect());
-    let all: String = (0..REQUESTS).map(|i| request(&format!("id-{i}"), "send", "hello")).collect();
+    let pipelined: String = (0..REQUESTS).map(|i| request(&format!("id-{i}"), "send", "hello")).collect();
     let mut sender = client.get_ref().try_clone().unwrap();
-    let sending = std::thread::spawn(move || sender.write_all(all.as_bytes()).unwrap());
+    let sending = std::thread::spawn(move || sender.write_all(pipelined.as_bytes()).unwrap());
     assert_eq!(read_statuses(&mut client, REQUESTS), [200; REQUESTS]);
     sending.join().unwrap();
     assert_eq!(router.stop().get("attempts_completed"), REQUESTS as u64);
@@ -289,13 +289,13 @@
         RouterProcess::start(&operator_file(&[Peer::refusing_address()], &[Peer::refusing_address()], ""));
     let mut client = router.connect();
     let mut sender = client.try_clone().unwrap();
-    let sent_whole = std::thread::spawn(move || {
+    let sent_completely = std::thread::spawn(move || {
         let head_sent = sender.write_all(format!("{HEAD}content-length: 60000000\r\n\r\n").as_bytes());
         head_sent.is_ok() && (0..60).all(|_| sender.write_all(&[b'a'; 1_000_000]).is_ok())
     });
     let response = Message::read(&mut BufReader::new(&mut client)).unwrap();
     assert_eq!((response.status(), response.header("connection")), (413, Some("close")));
-    assert!(!sent_whole.join().unwrap());
+    assert!(!sent_completely.join().unwrap());
 }
 
 /// Guards against new connections that the kernel drops: with a listen backlog of 128, the clients above it,
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -72,8 +72,8 @@
     run_local(async {
         let server = Server::bind_with(Options { max_connections: 0, ..Options::default() }).await.run();
         let mut client = server.connect().await;
-        let both = ["id-1", "id-2"].map(|id| request(id, "send", "hello")).concat();
-        client.write_all(both.as_bytes()).await.unwrap();
+        let pipelined = ["id-1", "id-2"].map(|id| request(id, "send", "hello")).concat();
+        client.write_all(pipelined.as_bytes()).await.unwrap();
         let mut response = String::new();
         client.read_to_string(&mut response).await.unwrap();
         assert!(response.starts_with("HTTP/1.1 503") && response.contains("connection: close"), "{response}");
@@ -158,11 +158,11 @@
 async fn a_new_client_is_answered_at_once_at_the_connection_limit(#[case] sent: &[u8]) {
     run_local(async {
         let server = Server::bind_with(Options { max_connections: 4, ..Options::default() }).await.run();
-        let mut others = Vec::new();
+        let mut other_clients = Vec::new();
         for _ in 0..60 {
             let mut client = server.connect().await;
             client.write_all(sent).await.unwrap();
-            others.push(client);
+            other_clients.push(client);
         }
         let mut client = server.connect().await;
         let started = Instant::now();
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
 //! Tests of the discovery watch with a paused clock and in-memory streams: the driver is notified of each
-//! change within the deadline, whatever fails.
+//! change within the deadline, regardless of failures.
 
 use llm_router::interface::Settings;
 use llm_router::net::discovery::{
--- a/tests/discovery_agents.rs
+++ b/tests/discovery_agents.rs
@@ -1,4 +1,5 @@
-//! Tests of the discovery watch in which the order of events matters: the test plays the agent step by step.
+//! Tests of the discovery watch in which the order of events matters: the test acts as the agent, step
+//! by step.
 
 use llm_router::interface::{Settings, UpdateKind, WorkerId};
 use llm_router::net::discovery::{Backoff, Connector, Directory, DiscoveryStream, EndpointWatcher};
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -10,13 +10,16 @@
 use tokio::sync::oneshot::error::TryRecvError;
 
 /// Guards against an attempt that starts after its client has disconnected, for instance on a connection that
-/// is established late. The settings do not allow cancellation here: an attempt that has been written goes
-/// on.
+/// is established late. The settings do not allow cancellation here: an attempt that has been written
+/// continues.
 #[rstest]
-#[case::that_was_not_written_is_cancelled(false, TryRecvError::Closed)]
-#[case::that_was_written_goes_on(true, TryRecvError::Empty)]
+#[case::not_written(false, TryRecvError::Closed)]
+#[case::written(true, TryRecvError::Empty)]
 #[tokio::test]
-async fn when_the_client_disconnects_an_attempt(#[case] write_started: bool, #[case] expected: TryRecvError) {
+async fn a_client_disconnect_cancels_only_an_attempt_that_was_not_written(
+    #[case] write_started: bool,
+    #[case] expected: TryRecvError,
+) {
     let scenario = async {
         let driver = DriverHarness::start(settings(), 600_000_000).await;
         let DriverHarness { upstream, client, handle: _handle } = driver;
@@ -55,10 +58,10 @@
 #[tokio::test(start_paused = true)]
 async fn many_requests_with_one_deadline_all_get_their_final_response_in_time() {
     const REQUESTS: usize = 500;
-    const ANSWER_SLACK: Micros = 16_000;
+    const ANSWER_GRACE: Micros = 16_000;
     let scenario = async {
         let driver =
-            DriverHarness::start(Settings { answer_grace: ANSWER_SLACK, ..settings() }, 600_000_000).await;
+            DriverHarness::start(Settings { answer_grace: ANSWER_GRACE, ..settings() }, 600_000_000).await;
         let handle = driver.handle.clone();
         let deadline = handle.clock.now() + 2_000_000;
         let mut clients = Vec::new();
@@ -73,7 +76,7 @@
         for client in clients {
             let (is_rejected, at) = client.await.unwrap();
             // Tokio's timers have a resolution of one millisecond.
-            assert!(is_rejected && at <= deadline + ANSWER_SLACK + 1_000, "{} us late", at - deadline);
+            assert!(is_rejected && at <= deadline + ANSWER_GRACE + 1_000, "{} us late", at - deadline);
         }
     };
     tokio::task::LocalSet::new().run_until(scenario).await;
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -17,8 +17,8 @@
     output.unwrap()
 }
 
-/// Guards against an imported file that the router cannot serve from, and against omissions that are not
-/// reported.
+/// Guards against an imported configuration that the router cannot serve from, and against omissions that are
+/// not reported.
 #[test]
 fn router_serves_from_the_imported_file() {
     let worker = Peer::start(|message, conn| {
@@ -67,20 +67,20 @@
 }
 
 #[rstest]
-#[case::outside("maxconn 5\n", "line 1")]
-#[case::quote("global\n  log \"x\n", "line 2")]
-#[case::unit("defaults\n  timeout server 5parsecs\n", "line 2")]
-#[case::huge("defaults\n  timeout server 99999999999999d\n", "line 2")]
-#[case::port("listen a\n  bind 127.0.0.1:99999\n", "line 2")]
-#[case::no_port("listen a\n  bind 127.0.0.1\n", "line 2")]
-#[case::server("listen a\n  bind 127.0.0.1:1\n  server s\n", "line 3")]
-#[case::weight("listen a\n  bind 127.0.0.1:1\n  server s 127.0.0.1:2 weight\n", "line 3")]
-#[case::twice("backend a\nbackend a\n", "line 2")]
-#[case::backend("frontend a\n  bind 127.0.0.1:1\n  default_backend b\n", "line 3")]
-#[case::no_name("frontend\n", "line 1")]
-#[case::from("listen a from d\n", "line 1")]
-#[case::no_servers("listen a\n  bind 127.0.0.1:1\n", "line 3")]
-#[case::empty("", "line 1")]
+#[case::directive_outside_a_section("maxconn 5\n", "line 1")]
+#[case::unterminated_quote("global\n  log \"x\n", "line 2")]
+#[case::unknown_time_unit("defaults\n  timeout server 5parsecs\n", "line 2")]
+#[case::time_overflow("defaults\n  timeout server 99999999999999d\n", "line 2")]
+#[case::port_out_of_range("listen a\n  bind 127.0.0.1:99999\n", "line 2")]
+#[case::missing_port("listen a\n  bind 127.0.0.1\n", "line 2")]
+#[case::server_without_address("listen a\n  bind 127.0.0.1:1\n  server s\n", "line 3")]
+#[case::weight_without_value("listen a\n  bind 127.0.0.1:1\n  server s 127.0.0.1:2 weight\n", "line 3")]
+#[case::duplicate_backend("backend a\nbackend a\n", "line 2")]
+#[case::unknown_backend("frontend a\n  bind 127.0.0.1:1\n  default_backend b\n", "line 3")]
+#[case::frontend_without_name("frontend\n", "line 1")]
+#[case::unknown_defaults_section("listen a from d\n", "line 1")]
+#[case::listen_without_servers("listen a\n  bind 127.0.0.1:1\n", "line 3")]
+#[case::empty_file("", "line 1")]
 fn malformed_input_fails_with_its_line(#[case] text: &str, #[case] line: &str) {
     let output = import(text);
     let error = String::from_utf8(output.stderr).unwrap();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 /// Number of workers in a typical large fleet.
-const USUAL_WORKERS: usize = 200;
+const TYPICAL_WORKERS: usize = 200;
 /// Number of workers in the largest supported fleet.
 const MAX_WORKERS: usize = 3_200;
 
@@ -23,8 +23,7 @@
 /// Number of endpoint list updates in one measurement.
 const UPDATES: usize = 1_000;
 
-/// Maximum ratio of the CPU time for the same requests in the largest fleet to that in a fleet of the usual
-/// size.
+/// Maximum ratio of the CPU time for the same requests in the largest fleet to that in a typical fleet.
 const MAX_CPU_RATIO: f64 = 1.4;
 /// CPU time allowed on top of that ratio: 0.02 s plus 0.03 s per thousand workers.
 const CPU_ALLOWANCE: Duration = Duration::from_millis(116);
@@ -89,11 +88,11 @@
 /// decision in a large fleet took so much CPU time that the router fell behind.
 #[test]
 fn cpu_time_of_requests_is_bounded_in_a_large_fleet() {
-    let usual = cpu_time_of_requests(USUAL_WORKERS);
+    let typical = cpu_time_of_requests(TYPICAL_WORKERS);
     let large = cpu_time_of_requests(MAX_WORKERS);
     assert!(
-        large <= usual.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
-        "{large:?} in the largest fleet, {usual:?} in a usual one"
+        large <= typical.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
+        "{large:?} in the largest fleet, {typical:?} in a typical one"
     );
 }
 
@@ -126,11 +125,11 @@
 /// endpoint list iterated over the whole list.
 #[test]
 fn cpu_time_of_updates_is_bounded_in_a_large_fleet() {
-    let usual = cpu_time_of_updates(USUAL_WORKERS);
+    let typical = cpu_time_of_updates(TYPICAL_WORKERS);
     let large = cpu_time_of_updates(MAX_WORKERS);
     assert!(
-        large <= usual.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
-        "{large:?} in the largest fleet, {usual:?} in a usual one"
+        large <= typical.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
+        "{large:?} in the largest fleet, {typical:?} in a typical one"
     );
 }
 
@@ -156,10 +155,10 @@
 /// workers for each queued request.
 #[test]
 fn cpu_time_of_queued_requests_is_bounded_in_a_large_fleet() {
-    let usual = cpu_time_of_queued_requests(USUAL_WORKERS);
+    let typical = cpu_time_of_queued_requests(TYPICAL_WORKERS);
     let large = cpu_time_of_queued_requests(MAX_WORKERS);
     assert!(
-        large <= usual.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
-        "{large:?} in the largest fleet, {usual:?} in a usual one"
+        large <= typical.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
+        "{large:?} in the largest fleet, {typical:?} in a typical one"
     );
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -47,8 +47,8 @@
     assert_eq!(old_requests.try_iter().filter(|line| line.starts_with("POST")).count(), 0);
 }
 
-/// Guards against a watch that is closed because the policy requests another: a shared discovery service would
-/// still process the abandoned call.
+/// Guards against a watch that is closed because the policy requests another: a shared discovery service
+/// would still process the abandoned call.
 #[test]
 fn shared_discovery_is_called_once() {
     let (record_request, requests) = shared_channel();
@@ -80,8 +80,8 @@
     })
 }
 
-/// Guards against a SIGHUP that ends the process, a watch that stays on the old agent while that one
-/// responds, and a new agent that is asked for changes after a sequence number of the old one.
+/// Guards against a SIGHUP that ends the process, a watch that stays connected to the old agent as long as
+/// that agent responds, and a new agent that is asked for changes after a sequence number of the old one.
 #[test]
 fn reload_switches_discovery_immediately_and_active_requests_continue() {
     let (stream_started, streams) = shared_channel();
@@ -236,10 +236,10 @@
     assert_eq!(router.request("id-1", "send").status(), 200);
 }
 
-/// Guards against a send that the driver decided on before the worker started to drain: the directory is
+/// Guards against sending an attempt that was decided on before its worker started to drain: the directory is
 /// checked just before the first byte is written.
 #[test]
-fn send_decided_before_a_drain_is_withheld() {
+fn attempt_decided_before_a_drain_is_withheld() {
     let (start_drain, drain_started) = shared_channel();
     let drain_started = Mutex::new(drain_started);
     let (old_prefill, old_requests) = recording_peer_with_releases(move |message, _| {
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -75,10 +75,10 @@
 #[test]
 fn after_a_stale_connection_no_pooled_connection_is_reused() {
     // A worker that answers the first request of each connection, and closes the connection on the second.
-    let responding_once = |respond: fn(&mut PeerConnection)| {
+    let worker_responding_once = |respond: fn(&mut PeerConnection)| {
         let seen_peers = Mutex::new(std::collections::HashSet::new());
         Peer::start(move |message, conn| {
-            // The router may have closed the connection already; then there is no peer to answer.
+            // There is no peer address if the router has already closed the connection.
             let Ok(peer) = conn.stream.peer_addr() else { return false };
             let is_first = seen_peers.lock().unwrap().insert(peer);
             if message.start_line.starts_with("DELETE") {
@@ -89,8 +89,8 @@
             is_first
         })
     };
-    let prefill = responding_once(|conn| conn.respond("202 Accepted", "", r#"{"cached_tokens":4}"#));
-    let decode = responding_once(|conn| {
+    let prefill = worker_responding_once(|conn| conn.respond("202 Accepted", "", r#"{"cached_tokens":4}"#));
+    let decode = worker_responding_once(|conn| {
         conn.begin_stream();
         conn.send_delta("one");
         conn.end_stream();
@@ -123,7 +123,7 @@
 }
 
 /// Guards against a late release: sent while the second prefill attempt is in flight, it would release that
-/// attempt's cache, and the decode worker would find none.
+/// attempt's cache, and the decode worker would not find it.
 #[test]
 fn the_cache_of_a_failed_prefill_is_released_before_the_next_attempt() {
     let attempts = AtomicU32::new(0);
@@ -143,8 +143,8 @@
     assert!(lines.len() == 3 && lines.iter().zip(expected).all(|(l, e)| l.starts_with(e)), "{lines:?}");
 }
 
-/// Guards against a second request with the id of one that still streams: other clients may choose the same
-/// id.
+/// Guards against accepting a request whose id belongs to a response that is still being streamed: other
+/// clients may choose the same id.
 #[test]
 fn an_id_is_active_until_its_stream_has_ended() {
     let (decode, prefill) = (GatedDecodeWorker::start(), Peer::prefill_worker());
@@ -152,7 +152,8 @@
     let mut client = BufReader::new(router.connect());
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
     decode.wait_for_stream();
-    // The response head has been received: the request has its final answer, and still streams.
+    // The response head has been received: the request has its final response, which is still being
+    // streamed.
     client.fill_buf().unwrap();
     assert_eq!(router.request("id-1", "send").status(), 409);
     let _decode = decode.open_gate();
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_disconnected_client_s_attempt_is_cancelled_and_its_cache_released() {
+fn the_attempt_of_a_disconnected_client_is_cancelled_and_its_cache_released() {
     // A release may go to either worker of a request, so one worker has both roles here.
     let worker = HangingWorker::start();
     let router = start_router(&worker.peer, &worker.peer);
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -48,8 +48,8 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
 
 /// Guards against invalid data in place of a stream, on a connection that the worker keeps open. Before the
-/// first event, a request that must not run twice must not be retried. After it, the client must neither wait
-/// for ever nor receive data that is not an event.
+/// first event, a non-idempotent request must not be retried. After it, the client must neither wait
+/// indefinitely nor receive data that is not an event.
 #[rstest]
 #[case::not_http("\u{1}\u{2}\u{3} nothing like HTTP\r\n\r\n", false)]
 #[case::invalid_response_head("HTTP/1.1 2x0 OK\r\n\r\n", false)]
@@ -66,7 +66,7 @@
 ) {
     let (report_closed, closed) = shared_channel();
     let worker_response = worker_response.replace("{HEAD}", HEAD);
-    // `{MORE}` stands for data without end.
+    // `{MORE}` stands for endless data.
     let is_endless = worker_response.contains("{MORE}");
     let attempts = AtomicU32::new(0);
     let decode = Peer::start(move |_, conn| {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Guards against a client that waits for ever on a stream in which only comments follow the first event.
+/// Guards against a client that waits indefinitely on a stream in which only comments follow the first event.
 #[test]
 fn an_endless_stream_of_comments_is_terminated() {
     let (report_closed, closed) = shared_channel();
--- a/tests/support/driver.rs
+++ b/tests/support/driver.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// A driver with one request, of which an attempt is in flight.
+/// A driver with one request, whose first attempt is in flight.
 pub struct DriverHarness {
     pub upstream: Rc<RecordingUpstream>,
     pub client: PendingResponse,
@@ -108,8 +108,7 @@
     }
 }
 
-/// Runs all tasks that are ready; everything is on one thread. Afterwards the driver has handled all
-/// submitted inputs.
+/// Runs all ready tasks, which share this thread. Afterwards the driver has handled all submitted inputs.
 pub async fn run_pending_tasks() {
     for _ in 0..100 {
         tokio::task::yield_now().await;
--- a/tests/support/operator_file.rs
+++ b/tests/support/operator_file.rs
@@ -5,8 +5,8 @@
 /// In the extra text, separates top-level keys from tables.
 const TABLE_SEPARATOR: &str = "---";
 
-/// Returns an operator's file that lists these prefill and decode workers. Extra text before a `---` is added to
-/// the top-level keys, which TOML requires ahead of all tables; text after it is appended to the file.
+/// Returns an operator's file that lists these prefill and decode workers. Extra text before a `---` is added
+/// to the top-level keys, which TOML requires ahead of all tables; text after it is appended to the file.
 pub fn operator_file(prefill_workers: &[SocketAddr], decode_workers: &[SocketAddr], extra: &str) -> String {
     let (keys, tables) = extra.split_once(TABLE_SEPARATOR).unwrap_or((extra, ""));
     let mut text = format!("name = \"test\"\nlisten = \"127.0.0.1:0\"\n{keys}\n");
--- a/tests/support/peer.rs
+++ b/tests/support/peer.rs
@@ -113,8 +113,8 @@
         })
     }
 
-    /// Returns an address that refuses connections until the test process ends. Its socket stays bound, so that
-    /// no other test gets the port, but does not listen.
+    /// Returns an address that refuses connections until the test process ends. Its socket stays bound, so
+    /// that no other test gets the port, but does not listen.
     pub fn refusing_address() -> SocketAddr {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from((Ipv4Addr::LOCALHOST, 0)).into()).unwrap();
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -138,11 +138,11 @@
     }
 }
 
-/// Returns whether the connection was reset, which means that the server did not read the last bytes sent. After
-/// the end of the stream, the kernel reports a reset as a broken pipe.
+/// Returns whether the connection was reset, which means that the server did not read the last bytes sent.
+/// After the end of the stream, the kernel reports a reset as a broken pipe.
 ///
-/// On a busy machine the kernel delivers a reset slightly after the close that causes it. Tokio's paused clock
-/// does not cover this delay, so the function waits in real time.
+/// On a busy machine the kernel delivers a reset slightly after the close that causes it. Tokio's paused
+/// clock does not cover this delay, so the function waits in real time.
 pub fn was_reset(client: &TcpStream) -> bool {
     let deadline = Instant::now() + RESET_DELIVERY_TIMEOUT;
     loop {
--- a/tests/support/tool_server.rs
+++ b/tests/support/tool_server.rs
@@ -75,8 +75,8 @@
     message.start_line.split(' ').nth(1)?.strip_prefix("/internal/tool-results/")
 }
 
-/// Starts a decode worker that calls a tool after the first event of its stream, and streams the tool's result
-/// as the last delta.
+/// Starts a decode worker that calls a tool after the first event of its stream, and streams the tool's
+/// result as the last delta.
 pub fn tool_calling_worker(call: &'static str) -> Peer {
     let results = ToolResults::default();
     Peer::start(move |message, conn| {
@@ -111,7 +111,6 @@
 
 /// Returns a JSON-RPC completion request with this name. `extra` is appended to its parameters.
 pub fn completion_request(name: &str, extra: &str) -> String {
-    format!(
-        r#"{{"jsonrpc":"2.0","id":1,"method":"send","params":{{"request":"{name}","deadline_ms":8000,"messages":[]{extra}}}}}"#
-    )
+    let params = format!(r#"{{"request":"{name}","deadline_ms":8000,"messages":[]{extra}}}"#);
+    format!(r#"{{"jsonrpc":"2.0","id":1,"method":"send","params":{params}}}"#)
 }
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -15,8 +15,8 @@
     })
 }
 
-/// Starts a decode worker that streams a completion and records its requests. Returns it and the receiver of the
-/// requests.
+/// Starts a decode worker that streams a completion and records its requests. Returns it and the receiver of
+/// the requests.
 pub fn recording_decode_worker() -> (Peer, mpsc::Receiver<Message>) {
     let (record, requests) = mpsc::channel();
     let record = Mutex::new(record);
@@ -41,8 +41,8 @@
     is_request
 }
 
-/// A decode worker that streams the first delta of a completion, and ends the stream once its gate is open. An
-/// open gate stays open, and dropping this opens it too.
+/// A decode worker that streams the first delta of a completion, and ends the stream once its gate is open.
+/// An open gate stays open, and dropping this opens it too.
 pub struct GatedDecodeWorker {
     pub peer: Peer,
     started: mpsc::Receiver<String>,
@@ -79,8 +79,8 @@
     }
 }
 
-/// A worker of any role that acknowledges cache releases, and leaves every other request pending until the router
-/// closes the connection.
+/// A worker of any role that acknowledges cache releases, and leaves every other request pending until the
+/// router closes the connection.
 pub struct HangingWorker {
     pub peer: Peer,
     request_lines: mpsc::Receiver<String>,
@@ -125,8 +125,8 @@
         self.closed.recv_timeout(2 * HANG_TIMEOUT).unwrap() == "true"
     }
 
-    /// Waits for a request whose request line starts with `prefix`, and skips earlier ones. Returns whether it
-    /// arrived.
+    /// Waits for a request whose request line starts with `prefix`, and skips earlier ones. Returns whether
+    /// it arrived.
     pub fn wait_for_request_line(&self, prefix: &str) -> bool {
         while let Ok(line) = self.request_lines.recv_timeout(HANG_TIMEOUT) {
             if line.starts_with(prefix) {
--- a/tests/tool_replay.rs
+++ b/tests/tool_replay.rs
@@ -1,4 +1,4 @@
-//! Tests of the replay buffer: a tool call is executed at most once, however often its answer breaks and is
+//! Tests of the replay buffer: a tool call is executed at most once, however often its stream breaks and is
 //! resumed.
 
 mod support;
@@ -83,7 +83,7 @@
             return self.receive_result(id, message, conn);
         }
         if message.start_line.starts_with("POST") {
-            return self.stream_answer(message, conn);
+            return self.stream_completion(message, conn);
         }
         conn.respond("204 No Content", "", "");
         true
@@ -101,7 +101,7 @@
         true
     }
 
-    fn stream_answer(&self, message: &Message, conn: &mut PeerConnection) -> bool {
+    fn stream_completion(&self, message: &Message, conn: &mut PeerConnection) -> bool {
         let crash_point = *self.crash_point.lock().unwrap();
         let crash = || self.crash(&mut self.crash_point.lock().unwrap());
         conn.begin_stream();
@@ -158,12 +158,16 @@
         script.arm(CRASH_POINTS[i as usize % CRASH_POINTS.len()]);
         let first = router.rpc(&completion_request(&name, ""));
         assert!(!first.is_complete && first.text().contains("before "), "{i}: {}", first.text());
-        let mut rest = Message::default();
-        // The workers that crashed are ejected for a while; the client retries until it is served.
-        while rest.status() != 200 {
-            rest = router.rpc(&completion_request(&name, r#","resume":{"calls":0,"text":"before "}"#));
+        let mut resumed = Message::default();
+        // Crashed workers are ejected for a while, so the client retries until its request is served.
+        while resumed.status() != 200 {
+            resumed = router.rpc(&completion_request(&name, r#","resume":{"calls":0,"text":"before "}"#));
         }
-        assert!(rest.is_complete && rest.text().contains(r#""text":"after""#), "{i}: {}", rest.text());
+        assert!(
+            resumed.is_complete && resumed.text().contains(r#""text":"after""#),
+            "{i}: {}",
+            resumed.text()
+        );
     }
     assert_eq!(script.crashes.load(Ordering::SeqCst), CRASHES);
     let executions = tools.executions();
@@ -201,7 +205,7 @@
     let prefill = Peer::prefill_worker();
     let router = start_router(prefill.address, &[decode.address], tools.address(), "");
     assert!(!router.rpc(&completion_request("k1", "")).is_complete);
-    let rest = router.rpc(&completion_request("k1", r#","resume":{"calls":0,"text":""}"#)).text();
-    assert!(rest.contains("'code':-32012"), "{rest}");
+    let resumed = router.rpc(&completion_request("k1", r#","resume":{"calls":0,"text":""}"#)).text();
+    assert!(resumed.contains("'code':-32012"), "{resumed}");
     assert_eq!(tools.executions().iter().sum::<u32>(), 1);
 }
--- a/tests/tools.rs
+++ b/tests/tools.rs
@@ -1,5 +1,5 @@
-//! Tests of the JSON-RPC frontend with scripted workers and tool servers: tool calls relayed while an answer
-//! streams, conformance to the specification, batches and cancellation.
+//! Tests of the JSON-RPC frontend with scripted workers and tool servers: tool calls relayed during a
+//! response stream, conformance to the specification, batches and cancellation.
 
 mod support;
 
@@ -55,8 +55,8 @@
 #[case::unreachable(false, "'code':-32010")]
 #[case::no_response(true, "'code':-32011")]
 fn a_tool_call_without_a_response_ends_with_an_error(#[case] listens: bool, #[case] sent_to_worker: &str) {
-    let silent = Peer::start(|_, conn| !conn.wait_for_close());
-    let tools = if listens { silent.address } else { Peer::refusing_address() };
+    let unresponsive = Peer::start(|_, conn| !conn.wait_for_close());
+    let tools = if listens { unresponsive.address } else { Peer::refusing_address() };
     let (decode, prefill) = (tool_calling_worker(TOOL_CALL), Peer::prefill_worker());
     let router = start_router(prefill.address, &[decode.address], tools, "call_timeout_ms = 300");
     let response = router.rpc(&completion_request("r1", "")).text();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn cancelling_a_request_closes_its_worker_s_stream_and_sends_a_response() {
+fn cancelling_a_request_closes_the_stream_of_its_worker_and_sends_a_response() {
     let (report_closed, closed) = shared_channel();
     let decode = Peer::start(move |message, conn| {
         if message.start_line.starts_with("POST") {
@@ -166,7 +166,7 @@
 #[case::single_request_before_its_first_event(false, false)]
 #[case::batch_before_its_first_event(true, false)]
 #[case::batch_in_the_middle_of_its_stream(true, true)]
-fn a_disconnected_client_s_requests_are_cancelled(#[case] is_batch: bool, #[case] streams: bool) {
+fn the_requests_of_a_disconnected_client_are_cancelled(#[case] is_batch: bool, #[case] streams: bool) {
     let worker = if streams { HangingWorker::start_streaming() } else { HangingWorker::start() };
     let prefill = Peer::prefill_worker();
     let prefill_address = if streams { prefill.address } else { worker.peer.address };
