--- a/examples/loopback_fleet.rs
+++ b/examples/loopback_fleet.rs
@@ -54,7 +54,8 @@
     }
 }
 
-/// Streams a short completion, which includes a tool call if the requested model is `send`.
+/// Streams a short completion. It includes a tool call for JSON-RPC requests of the method `send`, which the
+/// router forwards as the model.
 async fn decode_worker(request: Request<Incoming>, pending: PendingToolCalls) -> Response<Body> {
     let path = request.uri().path().to_owned();
     let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -42,7 +42,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_read(#[case] cause: CloseCause) {
     run_local(async {
-        let server = Server::bind_with(Options { max_connections: 1, ..Options::default() }).await.run();
+        let server =
+            Server::bind_with(ServerOptions { max_connections: 1, ..ServerOptions::default() }).await.run();
         let mut client = server.connect().await;
         check_health(&mut client).await;
         let mut new_connection = None;
@@ -70,7 +71,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_pipelined_after_the_last_one_of_a_connection_is_not_read() {
     run_local(async {
-        let server = Server::bind_with(Options { max_connections: 0, ..Options::default() }).await.run();
+        let server =
+            Server::bind_with(ServerOptions { max_connections: 0, ..ServerOptions::default() }).await.run();
         let mut client = server.connect().await;
         let pipelined = ["id-1", "id-2"].map(|id| request(id, "send", "hello")).concat();
         client.write_all(pipelined.as_bytes()).await.unwrap();
@@ -133,7 +135,8 @@
 async fn a_close_is_detected_without_waiting_for_the_runtime(#[case] sent_before_close: &str) {
     run_local(async {
         // The memory budget leaves no room to read the next request ahead.
-        let mut server = Server::bind_with(Options { body_memory: 16, ..Options::default() }).await.run();
+        let mut server =
+            Server::bind_with(ServerOptions { body_memory: 16, ..ServerOptions::default() }).await.run();
         let mut client = into_blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
@@ -157,7 +160,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_new_client_is_answered_at_once_at_the_connection_limit(#[case] sent: &[u8]) {
     run_local(async {
-        let server = Server::bind_with(Options { max_connections: 4, ..Options::default() }).await.run();
+        let server =
+            Server::bind_with(ServerOptions { max_connections: 4, ..ServerOptions::default() }).await.run();
         let mut other_clients = Vec::new();
         for _ in 0..60 {
             let mut client = server.connect().await;
@@ -204,7 +208,8 @@
 #[tokio::test]
 async fn a_client_that_reads_only_after_sending_its_whole_body_receives_the_rejection() {
     run_local(async {
-        let server = Server::bind_with(Options { max_connections: 0, ..Options::default() }).await.run();
+        let server =
+            Server::bind_with(ServerOptions { max_connections: 0, ..ServerOptions::default() }).await.run();
         let mut client = into_blocking(server.connect().await);
         // The client's send buffer must not hold the whole body.
         socket2::SockRef::from(&client).set_send_buffer_size(4 * 1024).unwrap();
--- a/tests/driver_held_cache.rs
+++ b/tests/driver_held_cache.rs
@@ -1,5 +1,7 @@
 //! The hold limit of a KV cache at a prefill worker, for all outcomes of attempts at decode workers. An
 //! attempt on a stalled connection reaches no worker, causes no error, and must not extend the limit.
+//!
+//! The hold limit is 500 ms in these tests, and 650 ms while an attempt is unanswered.
 
 #[path = "support/driver.rs"]
 mod driver;
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -45,12 +45,12 @@
     }
 }
 
-/// Guards against the loss of a request that has been received in part when the closing phase begins. It is
+/// Guards against the loss of a request that has been partially received when the closing phase begins. It is
 /// rejected, since the process may end before its deadline.
 #[rstest]
 #[case::in_its_head(20)]
 #[case::in_its_body(3)]
-fn a_request_received_in_part_in_the_closing_phase_is_rejected_and_not_forwarded(#[case] missing: usize) {
+fn a_partially_received_request_is_rejected_in_the_closing_phase_and_not_forwarded(#[case] missing: usize) {
     let (line_sender, request_lines) = mpsc::channel();
     let line_sender = Mutex::new(line_sender);
     let worker = Peer::start(move |message, _| {
--- a/tests/support/peer.rs
+++ b/tests/support/peer.rs
@@ -51,8 +51,8 @@
         let _ = self.stream.write_all(b"0\r\n\r\n");
     }
 
-    /// Blocks until the router closes or resets the connection, or sends more than one byte. Returns whether
-    /// it closed the connection.
+    /// Blocks until the router closes or resets the connection, sends more than one byte, or nothing happens
+    /// within [`HANG_TIMEOUT`]. Returns whether it closed the connection.
     pub fn wait_for_close(&mut self) -> bool {
         let _ = self.stream.set_read_timeout(Some(HANG_TIMEOUT));
         let mut is_closed = || match self.stream.read(&mut [0]) {
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -25,16 +25,16 @@
 const RESET_DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The limits of a server.
-pub struct Options {
+pub struct ServerOptions {
     /// The maximum number of client connections.
     pub max_connections: usize,
     /// The memory budget of request bodies, in bytes.
     pub body_memory: usize,
 }
 
-impl Default for Options {
+impl Default for ServerOptions {
     fn default() -> Self {
-        Options { max_connections: 64, body_memory: 1 << 20 }
+        ServerOptions { max_connections: 64, body_memory: 1 << 20 }
     }
 }
 
@@ -49,10 +49,10 @@
 
 impl Server {
     pub async fn bind() -> Server {
-        Server::bind_with(Options::default()).await
+        Server::bind_with(ServerOptions::default()).await
     }
 
-    pub async fn bind_with(options: Options) -> Server {
+    pub async fn bind_with(options: ServerOptions) -> Server {
         let (handle, driver_inputs) = DriverHandle::channel(Clock::start());
         let counters = Rc::<Counters>::default();
         let context = ServiceContext {
