--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Requests are not delayed by the log.
+//! Logging does not delay requests.
 
 mod support;
 
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -22,7 +22,7 @@
 fn updates_redirect_requests_and_a_lost_watch_keeps_the_list() {
     let (old_decode, old_requests) = recording_peer(|_, _| false);
     let (new_decode, prefill) = (decode_worker(), Peer::prefill_worker());
-    let (record_request, requests) = shared_channel();
+    let (record_request_line, request_lines) = shared_channel();
     let draining = endpoint("answer-0", "answer", "draining", None);
     let ready = endpoint("answer-9", "answer", "ready", Some(new_decode.address));
     let discovery = Peer::start(move |message, conn| {
@@ -32,7 +32,7 @@
         } else {
             // The first message was truncated, so the change is requested again after the last applied
             // sequence number.
-            record_request(message.start_line.clone());
+            record_request_line(message.start_line.clone());
             return false;
         }
         conn.send_chunk(&format!("\n{{\"seq\":7,\"hosts\":[{draining},{ready}]}}\n\n"));
@@ -41,7 +41,7 @@
     let extra = format!("discovery = \"{}\"", discovery.address);
     let router = RouterProcess::start(&operator_file(&[prefill.address], &[old_decode.address], &extra));
     for _ in 0..2 {
-        assert!(requests.recv().unwrap().contains("GET /v1/servers?watch=1&after=7"));
+        assert!(request_lines.recv().unwrap().contains("GET /v1/servers?watch=1&after=7"));
     }
     assert_eq!(router.request("id-1", "send").status(), 200);
     assert_eq!(old_requests.try_iter().filter(|line| line.starts_with("POST")).count(), 0);
@@ -51,10 +51,10 @@
 /// would still process the abandoned call.
 #[test]
 fn shared_discovery_is_called_once() {
-    let (record_request, requests) = shared_channel();
+    let (record_request_line, request_lines) = shared_channel();
     let draining = endpoint("answer-0", "answer", "draining", None);
     let discovery = Peer::start(move |message, conn| {
-        record_request(message.start_line.clone());
+        record_request_line(message.start_line.clone());
         conn.begin_stream();
         conn.send_chunk(&format!("{{\"seq\":2,\"whole\":false,\"hosts\":[{draining}]}}\n"));
         !conn.wait_for_close()
@@ -64,16 +64,16 @@
     let router = RouterProcess::start(&file.replace("\"pushed\"", "\"on_request\""));
     router.wait_for_log_line("answer-0 (answer, here, cell 0) is Draining");
     assert_eq!(router.stop().get("watches_lost"), 0);
-    assert_eq!(requests.try_iter().count(), 1);
+    assert_eq!(request_lines.try_iter().count(), 1);
 }
 
 /// A decode worker that sends the first token immediately and ends the stream once `gate` can be locked.
-/// Calls `started` for each stream.
-fn gated_decode_worker(gate: Arc<Mutex<()>>, started: Arc<dyn Fn(String) + Send + Sync>) -> Peer {
+/// Calls `report_start` for each stream.
+fn gated_decode_worker(gate: Arc<Mutex<()>>, report_start: Arc<dyn Fn(String) + Send + Sync>) -> Peer {
     Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.send_delta("one");
-        started(String::new());
+        report_start(String::new());
         drop(gate.lock());
         conn.end_stream();
         true
@@ -84,10 +84,10 @@
 /// that agent responds, and a new agent that is asked for changes after a sequence number of the old one.
 #[test]
 fn reload_switches_discovery_immediately_and_active_requests_continue() {
-    let (stream_started, streams) = shared_channel();
+    let (report_stream_start, stream_starts) = shared_channel();
     let gate = Arc::new(Mutex::new(()));
     let locked_gate = gate.lock().unwrap();
-    let old_decode = gated_decode_worker(gate.clone(), stream_started);
+    let old_decode = gated_decode_worker(gate.clone(), report_stream_start);
     let (prefill, new_decode) = (Peer::prefill_worker(), decode_worker());
     let (record_close, closes) = shared_channel();
     let old_agent = Peer::start(move |_, conn| {
@@ -96,14 +96,14 @@
         record_close(conn.wait_for_close().to_string());
         false
     });
-    let (record_request, requests) = shared_channel();
+    let (record_request_line, request_lines) = shared_channel();
     let listed = [
         endpoint("prompt-0", "prompt", "ready", Some(prefill.address)),
         endpoint("answer-9", "answer", "ready", Some(new_decode.address)),
     ];
     let list = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}", listed.join(","));
     let new_agent = Peer::start(move |message, conn| {
-        record_request(message.start_line.clone());
+        record_request_line(message.start_line.clone());
         if message.start_line.contains("watch") {
             conn.begin_stream();
             return !conn.wait_for_close();
@@ -115,13 +115,13 @@
     let router = RouterProcess::start(&file(&format!("discovery = \"{}\"", old_agent.address)));
     let mut client = router.connect();
     client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    streams.recv().unwrap();
+    stream_starts.recv().unwrap();
     router.reload("listen = ");
     assert!(router.wait_for_log_line("the configuration held stands").contains("line 1"));
     router.reload(&file(&format!("discovery = \"{}\"", new_agent.address)));
     assert_eq!(closes.recv().unwrap(), "true");
     for expected in ["GET /v1/servers HTTP", "GET /v1/servers?watch=1&after=1 HTTP"] {
-        assert!(requests.recv().unwrap().starts_with(expected));
+        assert!(request_lines.recv().unwrap().starts_with(expected));
     }
     assert_eq!(router.request("id-2", "send").status(), 200);
     drop(locked_gate);
@@ -240,12 +240,12 @@
 /// checked just before the first byte is written.
 #[test]
 fn attempt_decided_before_a_drain_is_withheld() {
-    let (start_drain, drain_started) = shared_channel();
-    let drain_started = Mutex::new(drain_started);
+    let (trigger_drain, drain_triggered) = shared_channel();
+    let drain_triggered = Mutex::new(drain_triggered);
     let (old_prefill, old_requests) = recording_peer_with_releases(move |message, _| {
         // The first prefill fails; the drain happens during the cache release before the second one.
         if message.start_line.starts_with("DELETE") {
-            start_drain("now".into());
+            trigger_drain("now".into());
         }
         false
     });
@@ -255,9 +255,9 @@
     let ready = endpoint("prompt-9", "prompt", "ready", Some(new_prefill.address));
     let discovery = Peer::start(move |_, conn| {
         conn.begin_stream();
-        if drain_started.lock().unwrap().recv().is_ok() {
+        if drain_triggered.lock().unwrap().recv().is_ok() {
             conn.send_chunk(&format!("{{\"seq\":2,\"hosts\":[{draining},{ready}]}}\n"));
-            let _ = drain_started.lock().unwrap().recv();
+            let _ = drain_triggered.lock().unwrap().recv();
         }
         false
     });
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -267,14 +267,14 @@
 /// accepted.
 #[test]
 fn sigterm_finishes_requests_in_flight_and_exits_with_success() {
-    let (started, starts) = shared_channel();
+    let (report_stream_start, stream_starts) = shared_channel();
     let lock = Arc::new(Mutex::new(()));
     let stream_paused = lock.lock().unwrap();
     let gate = lock.clone();
     let decode_worker = Peer::start(move |_, conn| {
         conn.begin_stream();
         conn.send_delta("one");
-        started("".into());
+        report_stream_start("".into());
         drop(gate.lock());
         conn.end_stream();
         true
@@ -285,7 +285,7 @@
     let mut client = BufReader::new(router.connect());
     let mut idle = router.connect();
     client.get_mut().write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
-    starts.recv().unwrap();
+    stream_starts.recv().unwrap();
     // The router has started to stream the response.
     client.fill_buf().unwrap();
     router.signal("-USR1");
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -149,8 +149,8 @@
 #[case::invalid_load_report("{HEAD}", "")]
 #[case::second_response("{HEAD}", "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")]
 fn a_valid_stream_is_relayed_despite_surplus_output(#[case] head: &str, #[case] trailing: &'static str) {
-    let report = "transfer-encoding: chunked\r\nx-load: \u{1}\u{2}\r\nx-load: what\r\n";
-    let head = head.replace("{HEAD}", HEAD).replace("transfer-encoding: chunked\r\n", report);
+    let load_reports = "transfer-encoding: chunked\r\nx-load: \u{1}\u{2}\r\nx-load: what\r\n";
+    let head = head.replace("{HEAD}", HEAD).replace("transfer-encoding: chunked\r\n", load_reports);
     let decode = Peer::start(move |message, conn| {
         let _ = conn.stream.write_all(head.as_bytes());
         conn.send_delta(message.header("x-request-id").unwrap());
--- a/tests/support/server.rs
+++ b/tests/support/server.rs
@@ -1,5 +1,5 @@
-//! An HTTP server in the test process: the router's client side without its driver, whose inputs the test
-//! receives.
+//! An HTTP server in the test process: the router's client-facing side without its driver, whose inputs the
+//! test receives.
 #![allow(dead_code)]
 
 use llm_router::frontend::context::ServiceContext;
--- a/tests/tool_replay.rs
+++ b/tests/tool_replay.rs
@@ -37,19 +37,21 @@
     crash_point: Mutex<Option<CrashPoint>>,
     crashes: AtomicU32,
     results: ToolResults,
-    tool_started: (Mutex<mpsc::Sender<()>>, Mutex<mpsc::Receiver<()>>),
+    tool_start_sender: Mutex<mpsc::Sender<()>>,
+    tool_starts: Mutex<mpsc::Receiver<()>>,
     tool_is_blocked: Mutex<bool>,
     tool_unblocked: Condvar,
 }
 
 impl CrashScript {
     fn new() -> Arc<CrashScript> {
-        let (started, starts) = mpsc::channel();
+        let (tool_start_sender, tool_starts) = mpsc::channel();
         Arc::new(CrashScript {
             crash_point: Mutex::new(None),
             crashes: AtomicU32::new(0),
             results: ToolResults::default(),
-            tool_started: (Mutex::new(started), Mutex::new(starts)),
+            tool_start_sender: Mutex::new(tool_start_sender),
+            tool_starts: Mutex::new(tool_starts),
             tool_is_blocked: Mutex::new(false),
             tool_unblocked: Condvar::new(),
         })
@@ -57,7 +59,7 @@
 
     /// Sets the point at which the next worker crashes.
     fn arm(&self, point: CrashPoint) {
-        while self.tool_started.1.lock().unwrap().try_recv().is_ok() {}
+        while self.tool_starts.lock().unwrap().try_recv().is_ok() {}
         *self.tool_is_blocked.lock().unwrap() = point == CrashPoint::ToolBlocked;
         *self.crash_point.lock().unwrap() = Some(point);
     }
@@ -71,7 +73,7 @@
 
     /// Runs the tool: reports its start, and waits while it is blocked.
     fn run_tool(&self) -> String {
-        self.tool_started.0.lock().unwrap().send(()).unwrap();
+        self.tool_start_sender.lock().unwrap().send(()).unwrap();
         let is_blocked = self.tool_is_blocked.lock().unwrap();
         drop(self.tool_unblocked.wait_while(is_blocked, |is_blocked| *is_blocked));
         r#""result":"page text""#.into()
@@ -116,7 +118,7 @@
         match crash_point {
             Some(CrashPoint::CallWritten) => return crash(),
             Some(CrashPoint::ToolRunning | CrashPoint::ToolBlocked) => {
-                self.tool_started.1.lock().unwrap().recv().unwrap();
+                self.tool_starts.lock().unwrap().recv().unwrap();
                 return crash();
             }
             _ => {}
