--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 /// Number of workers in a typical large fleet.
-const USUAL_WORKERS: usize = 200;
+const TYPICAL_WORKERS: usize = 200;
 /// Number of workers in the largest supported fleet.
 const MAX_WORKERS: usize = 3_200;
 
@@ -23,8 +23,7 @@
 /// Number of endpoint list updates in one measurement.
 const UPDATES: usize = 1_000;
 
-/// Maximum ratio of the CPU time for the same requests in the largest fleet to that in a fleet of the usual
-/// size.
+/// Maximum ratio of the CPU time for the same requests in the largest fleet to that in a typical fleet.
 const MAX_CPU_RATIO: f64 = 1.4;
 /// CPU time allowed on top of that ratio: 0.02 s plus 0.03 s per thousand workers.
 const CPU_ALLOWANCE: Duration = Duration::from_millis(116);
@@ -77,7 +76,8 @@
     let cpu_time_before = router.cpu_time();
     let responses = send_at_rate(router.address, REQUESTS, REQUESTS_PER_SECOND, DEADLINE);
     let cpu_time = router.cpu_time() - cpu_time_before;
-    let served = responses.iter().filter(|(response, _)| response.status() == 200 && response.whole).count();
+    let served =
+        responses.iter().filter(|(response, _)| response.status() == 200 && response.is_complete).count();
     let slowest = responses.iter().map(|(_, latency)| *latency).max().unwrap();
     println!("{worker_count} workers: {served} served, {cpu_time:?} of CPU time, the slowest in {slowest:?}");
     assert_eq!(served, REQUESTS as usize, "{worker_count} workers");
@@ -88,11 +88,11 @@
 /// decision in a large fleet took so much CPU time that the router fell behind.
 #[test]
 fn cpu_time_of_requests_is_bounded_in_a_large_fleet() {
-    let usual = cpu_time_of_requests(USUAL_WORKERS);
+    let typical = cpu_time_of_requests(TYPICAL_WORKERS);
     let large = cpu_time_of_requests(MAX_WORKERS);
     assert!(
-        large <= usual.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
-        "{large:?} in the largest fleet, {usual:?} in a usual one"
+        large <= typical.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
+        "{large:?} in the largest fleet, {typical:?} in a typical one"
     );
 }
 
@@ -108,14 +108,14 @@
         lines.send(format!("{{\"seq\":{sequence},\"whole\":false,\"hosts\":[{host}]}}\n")).unwrap();
     };
     send_update(2, "answer-0", "draining");
-    router.wait_for("answer-0 (answer, here, cell 9) is Draining");
+    router.wait_for_log_line("answer-0 (answer, here, cell 9) is Draining");
     let cpu_time_before = router.cpu_time();
     for number in 0..UPDATES {
         let health = ["draining", "ready"][number / 10 % 2];
         send_update(3 + number, &format!("answer-{}", number % 10), health);
     }
     send_update(3 + UPDATES, "answer-0", "gone");
-    router.wait_for("answer-0 (answer, here, cell 9) is Gone");
+    router.wait_for_log_line("answer-0 (answer, here, cell 9) is Gone");
     let cpu_time = router.cpu_time() - cpu_time_before;
     println!("{worker_count} workers: {cpu_time:?} of CPU time for {UPDATES} updates");
     cpu_time
@@ -125,11 +125,11 @@
 /// endpoint list iterated over the whole list.
 #[test]
 fn cpu_time_of_updates_is_bounded_in_a_large_fleet() {
-    let usual = cpu_time_of_updates(USUAL_WORKERS);
+    let typical = cpu_time_of_updates(TYPICAL_WORKERS);
     let large = cpu_time_of_updates(MAX_WORKERS);
     assert!(
-        large <= usual.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
-        "{large:?} in the largest fleet, {usual:?} in a usual one"
+        large <= typical.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
+        "{large:?} in the largest fleet, {typical:?} in a typical one"
     );
 }
 
@@ -155,10 +155,10 @@
 /// workers for each queued request.
 #[test]
 fn cpu_time_of_queued_requests_is_bounded_in_a_large_fleet() {
-    let usual = cpu_time_of_queued_requests(USUAL_WORKERS);
+    let typical = cpu_time_of_queued_requests(TYPICAL_WORKERS);
     let large = cpu_time_of_queued_requests(MAX_WORKERS);
     assert!(
-        large <= usual.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
-        "{large:?} in the largest fleet, {usual:?} in a usual one"
+        large <= typical.mul_f64(MAX_CPU_RATIO) + CPU_ALLOWANCE,
+        "{large:?} in the largest fleet, {typical:?} in a typical one"
     );
 }
--- a/tests/tool_replay.rs
+++ b/tests/tool_replay.rs
@@ -1,4 +1,4 @@
-//! Tests of the replay buffer: a tool call is executed at most once, however often its answer breaks and is
+//! Tests of the replay buffer: a tool call is executed at most once, however often its stream breaks and is
 //! resumed.
 
 mod support;
@@ -37,19 +37,21 @@
     crash_point: Mutex<Option<CrashPoint>>,
     crashes: AtomicU32,
     results: ToolResults,
-    tool_started: (Mutex<mpsc::Sender<()>>, Mutex<mpsc::Receiver<()>>),
+    tool_start_sender: Mutex<mpsc::Sender<()>>,
+    tool_starts: Mutex<mpsc::Receiver<()>>,
     tool_is_blocked: Mutex<bool>,
     tool_unblocked: Condvar,
 }
 
 impl CrashScript {
     fn new() -> Arc<CrashScript> {
-        let (started, starts) = mpsc::channel();
+        let (tool_start_sender, tool_starts) = mpsc::channel();
         Arc::new(CrashScript {
             crash_point: Mutex::new(None),
             crashes: AtomicU32::new(0),
             results: ToolResults::default(),
-            tool_started: (Mutex::new(started), Mutex::new(starts)),
+            tool_start_sender: Mutex::new(tool_start_sender),
+            tool_starts: Mutex::new(tool_starts),
             tool_is_blocked: Mutex::new(false),
             tool_unblocked: Condvar::new(),
         })
@@ -57,7 +59,7 @@
 
     /// Sets the point at which the next worker crashes.
     fn arm(&self, point: CrashPoint) {
-        while self.tool_started.1.lock().unwrap().try_recv().is_ok() {}
+        while self.tool_starts.lock().unwrap().try_recv().is_ok() {}
         *self.tool_is_blocked.lock().unwrap() = point == CrashPoint::ToolBlocked;
         *self.crash_point.lock().unwrap() = Some(point);
     }
@@ -71,25 +73,25 @@
 
     /// Runs the tool: reports its start, and waits while it is blocked.
     fn run_tool(&self) -> String {
-        self.tool_started.0.lock().unwrap().send(()).unwrap();
+        self.tool_start_sender.lock().unwrap().send(()).unwrap();
         let is_blocked = self.tool_is_blocked.lock().unwrap();
         drop(self.tool_unblocked.wait_while(is_blocked, |is_blocked| *is_blocked));
         r#""result":"page text""#.into()
     }
 
     /// Serves one message as a decode worker.
-    fn serve(&self, message: &Message, conn: &mut Conn) -> bool {
+    fn serve(&self, message: &Message, conn: &mut PeerConnection) -> bool {
         if let Some(id) = tool_result_id(message) {
             return self.receive_result(id, message, conn);
         }
-        if message.line.starts_with("POST") {
-            return self.stream_answer(message, conn);
+        if message.start_line.starts_with("POST") {
+            return self.stream_completion(message, conn);
         }
-        conn.answer("204 No Content", "", "");
+        conn.respond("204 No Content", "", "");
         true
     }
 
-    fn receive_result(&self, id: &str, message: &Message, conn: &mut Conn) -> bool {
+    fn receive_result(&self, id: &str, message: &Message, conn: &mut PeerConnection) -> bool {
         self.results.put(id, message.text());
         // The crash is recorded before the connection closes: a resume that follows at once must not crash
         // here too.
@@ -97,26 +99,26 @@
         if *crash_point == Some(CrashPoint::ResultReceived) {
             return self.crash(&mut crash_point);
         }
-        conn.answer("204 No Content", "", "");
+        conn.respond("204 No Content", "", "");
         true
     }
 
-    fn stream_answer(&self, message: &Message, conn: &mut Conn) -> bool {
+    fn stream_completion(&self, message: &Message, conn: &mut PeerConnection) -> bool {
         let crash_point = *self.crash_point.lock().unwrap();
         let crash = || self.crash(&mut self.crash_point.lock().unwrap());
         conn.begin_stream();
         if !message.text().contains("resume") {
-            conn.delta("before ");
+            conn.send_delta("before ");
         }
         if crash_point == Some(CrashPoint::CallHalfWritten) {
-            conn.chunk(&format!("data: {}", &TOOL_CALL[..40]));
+            conn.send_chunk(&format!("data: {}", &TOOL_CALL[..40]));
             return crash();
         }
-        conn.event(TOOL_CALL);
+        conn.send_event(TOOL_CALL);
         match crash_point {
             Some(CrashPoint::CallWritten) => return crash(),
             Some(CrashPoint::ToolRunning | CrashPoint::ToolBlocked) => {
-                self.tool_started.1.lock().unwrap().recv().unwrap();
+                self.tool_starts.lock().unwrap().recv().unwrap();
                 return crash();
             }
             _ => {}
@@ -131,7 +133,7 @@
             _ => {}
         }
         assert!(result.contains(r#""result":"page text""#), "{result}");
-        conn.delta("after");
+        conn.send_delta("after");
         conn.end_stream();
         true
     }
@@ -157,13 +159,17 @@
         let name = format!("crash-{i}");
         script.arm(CRASH_POINTS[i as usize % CRASH_POINTS.len()]);
         let first = router.rpc(&completion_request(&name, ""));
-        assert!(!first.whole && first.text().contains("before "), "{i}: {}", first.text());
-        let mut rest = Message::default();
-        // The workers that crashed are ejected for a while; the client retries until it is served.
-        while rest.status() != 200 {
-            rest = router.rpc(&completion_request(&name, r#","resume":{"calls":0,"text":"before "}"#));
+        assert!(!first.is_complete && first.text().contains("before "), "{i}: {}", first.text());
+        let mut resumed = Message::default();
+        // Crashed workers are ejected for a while, so the client retries until its request is served.
+        while resumed.status() != 200 {
+            resumed = router.rpc(&completion_request(&name, r#","resume":{"calls":0,"text":"before "}"#));
         }
-        assert!(rest.whole && rest.text().contains(r#""text":"after""#), "{i}: {}", rest.text());
+        assert!(
+            resumed.is_complete && resumed.text().contains(r#""text":"after""#),
+            "{i}: {}",
+            resumed.text()
+        );
     }
     assert_eq!(script.crashes.load(Ordering::SeqCst), CRASHES);
     let executions = tools.executions();
@@ -186,22 +192,22 @@
         }
         let is_first = streams.fetch_add(1, Ordering::SeqCst) == 0;
         conn.begin_stream();
-        conn.event(if is_first {
+        conn.send_event(if is_first {
             TOOL_CALL
         } else {
             r#"{"jsonrpc":"2.0","id":2,"method":"page.fetch","params":{"page":2}}"#
         });
         let result = results.take(message.header("x-request-id").unwrap());
         if !is_first {
-            conn.delta(&result.replace('"', "'"));
+            conn.send_delta(&result.replace('"', "'"));
             conn.end_stream();
         }
         !is_first
     });
     let prefill = Peer::prefill_worker();
     let router = start_router(prefill.address, &[decode.address], tools.address(), "");
-    assert!(!router.rpc(&completion_request("k1", "")).whole);
-    let rest = router.rpc(&completion_request("k1", r#","resume":{"calls":0,"text":""}"#)).text();
-    assert!(rest.contains("'code':-32012"), "{rest}");
+    assert!(!router.rpc(&completion_request("k1", "")).is_complete);
+    let resumed = router.rpc(&completion_request("k1", r#","resume":{"calls":0,"text":""}"#)).text();
+    assert!(resumed.contains("'code':-32012"), "{resumed}");
     assert_eq!(tools.executions().iter().sum::<u32>(), 1);
 }
