--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -223,7 +223,7 @@
 #[derive(Serialize)]
 struct Rules {
     #[serde(rename = "answer_slack_us")]
-    answer_grace: Micros,
+    response_grace: Micros,
     #[serde(rename = "cold_from")]
     slow_start_floor: f64,
     #[serde(rename = "cold_us")]
@@ -239,7 +239,7 @@
 impl Rules {
     /// Disables slow start, since an HAProxy configuration does not describe how workers warm up.
     const WITHOUT_SLOW_START: Rules = Rules {
-        answer_grace: 16_000,
+        response_grace: 16_000,
         slow_start_floor: 1.0,
         slow_start_duration: 0,
         drain_grace: 1_000_000,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -144,7 +144,7 @@
     /// flight.
     pub cache_hold_limit: Micros,
     /// How long after the client's deadline a final response still counts. Read by the runtime only.
-    pub answer_grace: Micros,
+    pub response_grace: Micros,
     /// How long after the notification new requests may still reach a draining or removed worker. Unused by
     /// the current policy, which sends nothing to such a worker from the notification on.
     pub drain_grace: Micros,
--- a/src/policy/local_reply.rs
+++ b/src/policy/local_reply.rs
@@ -17,7 +17,7 @@
     let deadline = request.spec.deadline;
     match request.phase() {
         RequestPhase::Streaming | RequestPhase::Closed => return None,
-        // The attempt times out by the deadline, and its outcome arrives within `answer_grace` after it.
+        // The attempt times out by the deadline, and its outcome arrives within `response_grace` after it.
         RequestPhase::Prefilling | RequestPhase::DecodeRequested { .. } => {
             return (now >= deadline).then_some(EndReason::DeadlineExceeded);
         }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSnapshot {
     /// Whether the request has its final response.
-    pub is_answered: bool,
+    pub has_final_response: bool,
     /// The number of attempts made so far.
     pub attempts: usize,
     /// The maximum number of attempts.
@@ -28,7 +28,7 @@
 /// # Errors
 /// The invariant that the attempt would violate.
 pub fn check_attempt(request: &RequestSnapshot) -> Result<(), Invariant> {
-    if request.is_answered {
+    if request.has_final_response {
         return Err(Invariant::NoAttemptAfterResponse);
     }
     if request.attempts_in_flight > 0 && !request.hedging_allowed {
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -114,13 +114,13 @@
     }
 
     /// Whether the request has its final response.
-    pub fn is_answered(&self) -> bool {
+    pub fn has_final_response(&self) -> bool {
         self.responder.is_none()
     }
 
     /// Whether the request has its final response and no attempt in flight.
     pub fn is_finished(&self) -> bool {
-        self.is_answered() && !self.has_attempt_in_flight()
+        self.has_final_response() && !self.has_attempt_in_flight()
     }
 
     /// Whether any attempt is in flight.
@@ -135,7 +135,7 @@
 
     /// Describes for the log why the request may or may not be rejected, see
     /// [`is_rejection_harmless`](Self::is_rejection_harmless).
-    pub fn rejection_safety(&self) -> String {
+    pub fn rejection_note(&self) -> String {
         let may_have_run = if self.may_have_run() { "may have run" } else { "has not run" };
         format!("{may_have_run}, {:?}", self.idempotency)
     }
@@ -148,7 +148,7 @@
     /// The state on which another attempt is decided.
     pub fn snapshot(&self, settings: &Settings) -> RequestSnapshot {
         RequestSnapshot {
-            is_answered: self.is_answered(),
+            has_final_response: self.has_final_response(),
             attempts: self.attempts.len(),
             max_attempts: settings.max_attempts as usize,
             attempts_in_flight: self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count(),
@@ -229,10 +229,10 @@
     /// Records that an attempt has started to stream its response. `None` if there is no such attempt, or if
     /// the request has its final response already.
     pub fn start_stream(&mut self, index: AttemptIndex) -> Option<StartedStream> {
-        let is_answered = self.is_answered();
+        let has_final_response = self.has_final_response();
         let attempt = self.attempts.get_mut(index.0 as usize)?;
         attempt.write_started.set(true);
-        if is_answered {
+        if has_final_response {
             return None;
         }
         attempt.is_streaming = true;
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -103,7 +103,7 @@
     streams_broken,
     /// Releases of held KV caches, forced ones included.
     cache_releases,
-    /// Releases of KV caches at their hold limit, with or without an unanswered attempt.
+    /// Releases of KV caches at their hold limit, including those while an attempt awaits its response.
     cache_releases_forced,
     /// Releases that no worker acknowledged.
     cache_releases_failed,
--- a/src/runtime/driver/actions.rs
+++ b/src/runtime/driver/actions.rs
@@ -52,7 +52,7 @@
     /// Rejects a request, or fails it if a retry might be harmful.
     fn reject(&mut self, request: RequestId, retry_after: Option<Micros>, reason: EndReason) {
         let Some(active) = self.requests.get_mut(request) else { return };
-        if !active.is_answered() && !active.is_rejection_harmless() {
+        if !active.has_final_response() && !active.is_rejection_harmless() {
             let detail = format!("failed instead of rejected ({reason:?})");
             self.counters.violations.record(Invariant::RejectionSafeToRetry, active.id(), detail);
             return self.fail(request, reason);
@@ -65,16 +65,16 @@
         );
         self.counters.responses_rejected.increment();
         responder.reject(retry_after);
-        self.answered.push(request);
+        self.responded.push(request);
     }
 
     fn fail(&mut self, request: RequestId, reason: EndReason) {
         let Some(active) = self.requests.get_mut(request) else { return };
         let Some(responder) = active.take_responder() else { return };
-        log::debug!("request {}: failed: reason {reason:?}, {}", active.id(), active.rejection_safety());
+        log::debug!("request {}: failed: reason {reason:?}, {}", active.id(), active.rejection_note());
         self.counters.responses_failed.increment();
         responder.fail();
-        self.answered.push(request);
+        self.responded.push(request);
     }
 
     fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptIndex) {
--- a/src/runtime/driver/inputs.rs
+++ b/src/runtime/driver/inputs.rs
@@ -74,7 +74,7 @@
         let (number, deadline) = (spec.request, spec.deadline);
         let request = ActiveRequest::new(number, forwarded, deadline, idempotency, responder);
         self.requests.insert(number, request);
-        self.timers.push(deadline + self.settings.answer_grace, TimerEntry::ResponseDeadline(number));
+        self.timers.push(deadline + self.settings.response_grace, TimerEntry::ResponseDeadline(number));
         self.timers.prune(&self.requests);
         self.notify_policy(Event::RequestReceived(spec));
     }
@@ -125,7 +125,7 @@
             active.id(),
             attempt.0
         );
-        let request_finished = active.is_answered();
+        let request_finished = active.has_final_response();
         let release_due = active.held_cache().release_due(self.settings.cache_hold_limit);
         if let Some(at) = release_due {
             self.timers.push(at, TimerEntry::CacheHoldLimit(request));
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -19,7 +19,8 @@
     /// Ends a request that has no final response by its response deadline. The policy may have lost track of
     /// it in a panic.
     pub(super) fn enforce_response_deadline(&mut self, request: RequestId) {
-        let Some(active) = self.requests.get_mut(request).filter(|active| !active.is_answered()) else {
+        let Some(active) = self.requests.get_mut(request).filter(|active| !active.has_final_response())
+        else {
             return;
         };
         let detail = "no final response by the response deadline; ended by the driver";
@@ -38,7 +39,8 @@
             self.timers.push(release_due, TimerEntry::CacheHoldLimit(request));
             return;
         }
-        let attempt_note = if active.has_attempt_in_flight() { ", attempt unanswered" } else { "" };
+        let attempt_note =
+            if active.has_attempt_in_flight() { ", an attempt awaits its response" } else { "" };
         let holder = active.held_cache().holder().map_or("an unknown worker", |worker| &worker.0).to_owned();
         log::debug!(
             "request {}: the KV cache at {holder} has reached its hold limit{attempt_note}",
@@ -70,7 +72,7 @@
             log::debug!(
                 "request {}: failed by the driver: reason {reason:?}, {}",
                 active.id(),
-                active.rejection_safety()
+                active.rejection_note()
             );
             self.counters.responses_failed.increment();
             responder.fail();
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -47,7 +47,7 @@
     /// A buffer that is reused for each event and is empty between events.
     actions: Vec<Action>,
     /// Requests that got their final response through actions of the current event.
-    answered: Vec<RequestId>,
+    responded: Vec<RequestId>,
 }
 
 impl Driver {
@@ -69,7 +69,7 @@
             timers: TimerQueue::default(),
             lag: LagMonitor::default(),
             actions: Vec::new(),
-            answered: Vec::new(),
+            responded: Vec::new(),
         }
     }
 
@@ -162,7 +162,7 @@
         }
         self.actions = actions;
         // Done after all actions, since a cache release may follow the final response of its request.
-        while let Some(request) = self.answered.pop() {
+        while let Some(request) = self.responded.pop() {
             self.remove_if_finished(request);
         }
     }
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -67,7 +67,7 @@
         /// The endpoints that it contains.
         endpoints: Vec<Endpoint>,
     },
-    /// A decode worker has answered a request to reserve a slot.
+    /// A decode worker has responded to a request to reserve a slot.
     SlotReservationAnswered {
         /// The request.
         request: RequestId,
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -3,15 +3,15 @@
 //! A cache may be held only for a limited time while no attempt is in flight. An attempt on a stalled
 //! connection has not reached its worker and does not count as in flight, but the router cannot distinguish
 //! it from an attempt that waits in a decode worker's queue. The cache is therefore released at its hold
-//! limit even while an attempt is unanswered: workers keep a released cache for an attempt that has already
+//! limit even while an attempt awaits its response: workers keep a released cache for an attempt that has already
 //! arrived.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 
-/// Extension of the hold limit while an attempt is unanswered, so that the attempt can be answered or
-/// replaced by another one. This is half of the tolerance that the protocol grants beyond the configured
+/// Extension of the hold limit while an attempt awaits its response, so that it can end or be
+/// replaced by another attempt. This is half of the tolerance that the protocol grants beyond the configured
 /// limit; the other half is for the release to arrive.
-const UNANSWERED_ATTEMPT_ALLOWANCE: Micros = 150_000;
+const PENDING_RESPONSE_ALLOWANCE: Micros = 150_000;
 
 /// The state of a request's KV cache at a prefill worker, derived from the outcomes of attempts.
 #[derive(Clone, Debug, Default)]
@@ -22,26 +22,26 @@
     holder: Option<WorkerId>,
     /// Whether the cache was released at its hold limit. An attempt that arrived earlier may still fetch it.
     is_released: bool,
-    /// Whether an attempt has been sent since the last one ended.
-    is_attempt_unanswered: bool,
+    /// Whether an attempt was sent whose end has not been recorded.
+    awaits_response: bool,
 }
 
 impl HeldCache {
     /// Records the start of an attempt.
     pub fn attempt_sent(&mut self) {
-        self.is_attempt_unanswered = true;
+        self.awaits_response = true;
     }
 
     /// Records the end of an attempt at a worker.
     pub fn attempt_ended(&mut self, worker: &WorkerId, outcome: Outcome, now: Micros) {
-        self.is_attempt_unanswered = false;
+        self.awaits_response = false;
         match outcome {
             Outcome::PrefillCompleted => {
                 let (idle_since, holder) = (Some(now), Some(worker.clone()));
                 *self = HeldCache { idle_since, holder, ..HeldCache::default() };
             }
             Outcome::Completed | Outcome::CacheMissing => self.clear(),
-            // The worker has answered, so the attempt was in flight until now.
+            // The worker has responded, so the attempt was in flight until now.
             Outcome::Rejected | Outcome::WorkerError => self.restart_hold_limit(now),
             // After a release, the cache still exists only if the attempt had arrived before the release.
             Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled if self.is_released => {
@@ -85,7 +85,7 @@
     /// The time at which the cache has to be released, given its current state; `None` if none is held.
     pub fn release_due(&self, hold_limit: Micros) -> Option<Micros> {
         let idle_since = self.idle_since.filter(|_| !self.is_released)?;
-        let allowance = if self.is_attempt_unanswered { UNANSWERED_ATTEMPT_ALLOWANCE } else { 0 };
+        let allowance = if self.awaits_response { PENDING_RESPONSE_ALLOWANCE } else { 0 };
         Some(idle_since.saturating_add(hold_limit).saturating_add(allowance))
     }
 }
--- a/src/wire_format/settings.rs
+++ b/src/wire_format/settings.rs
@@ -43,7 +43,7 @@
         connect_timeout: values.optional_micros("permissions.connect_timeout_us")?.unwrap_or(0),
         event_interval: values.optional_micros("tick_us")?.unwrap_or(0),
         cache_hold_limit: values.optional_micros("family_info.release_us")?.unwrap_or(Micros::MAX),
-        answer_grace: values.optional_micros("rules.answer_slack_us")?.unwrap_or(0),
+        response_grace: values.optional_micros("rules.answer_slack_us")?.unwrap_or(0),
         drain_grace: values.required_micros("rules.drain_grace_us")?,
         slow_start_floor: values.required("rules.cold_from")?,
         slow_start_duration: values.required_micros("rules.cold_us")?,
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -36,9 +36,9 @@
 #[case::by_the_policy(60_000_000)]
 #[case::by_the_driver(0)]
 #[tokio::test(start_paused = true)]
-async fn the_final_response_cancels_an_attempt_that_was_not_written(#[case] answer_grace: Micros) {
+async fn the_final_response_cancels_an_attempt_that_was_not_written(#[case] response_grace: Micros) {
     let scenario = async {
-        let driver = DriverHarness::start(Settings { answer_grace, ..settings() }, 1_000_000).await;
+        let driver = DriverHarness::start(Settings { response_grace, ..settings() }, 1_000_000).await;
         assert_eq!(driver.cancellation(), TryRecvError::Empty);
         let state = driver.upstream.attempts.borrow()[0].request_state.clone();
         assert!(state.is_open());
@@ -58,7 +58,7 @@
     const ANSWER_SLACK: Micros = 16_000;
     let scenario = async {
         let driver =
-            DriverHarness::start(Settings { answer_grace: ANSWER_SLACK, ..settings() }, 600_000_000).await;
+            DriverHarness::start(Settings { response_grace: ANSWER_SLACK, ..settings() }, 600_000_000).await;
         let handle = driver.handle.clone();
         let deadline = handle.clock.now() + 2_000_000;
         let mut clients = Vec::new();
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -44,7 +44,7 @@
         connect_timeout: 250 * MS,
         event_interval: 2 * MS,
         cache_hold_limit: 500 * MS,
-        answer_grace: 16 * MS,
+        response_grace: 16 * MS,
         drain_grace: 500 * MS,
         slow_start_floor: 0.33,
         slow_start_duration: 10 * SECOND,
