--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -137,7 +137,7 @@
     }
 
     /// Up to `limit` running workers: ready ones first, then draining ones.
-    pub fn running(&self, limit: usize) -> Vec<WorkerId> {
+    pub fn running_workers(&self, limit: usize) -> Vec<WorkerId> {
         let workers = self.workers.borrow();
         let with_status = |status| {
             let workers = workers.iter().filter(move |(_, worker)| worker.status == status);
--- a/src/net/upstream/event_stream.rs
+++ b/src/net/upstream/event_stream.rs
@@ -49,7 +49,7 @@
     }
 
     /// Reads up to the end of the first event, and returns it with the comments before it; `None` if the
-    /// stream ends without an event. Comments do not count as the start of an answer.
+    /// stream ends without an event. Comments do not count as the start of a response.
     ///
     /// # Errors
     /// The stream is corrupted before its first event.
--- a/src/net/upstream/health.rs
+++ b/src/net/upstream/health.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tower::Service;
 
-/// The time within which a worker must answer a health check.
+/// The time within which a worker must respond to a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Checks a worker's health and submits the result to the driver.
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -170,7 +170,7 @@
     }
 
     /// Whether an idle connection may carry a request to `target`. The idle timeout applies because workers
-    /// close connections after a longer idle time, and a request written to a closed one is answered by a
+    /// close connections after a longer idle time, and a request written to a closed one results in a
     /// reset.
     fn is_reusable(&self, idle: &IdleConnection, target: &Target) -> bool {
         idle.address == target.address
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -19,7 +19,7 @@
 
 /// The delay before the first call, so that the worker has seen the attempt's connection close.
 const RELEASE_DELAY: Duration = Duration::from_millis(5);
-/// The time after which another worker is called while a call is unanswered: well within [`RELEASE_PERIOD`].
+/// The time after which another worker is called while a call awaits its response: well within [`RELEASE_PERIOD`].
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
 /// The period in which new calls are started: a KV cache must be released about 0.4 s after the policy's
 /// decision.
@@ -32,7 +32,7 @@
 /// The timeout of a single call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Releases the KV cache and the slot of a request, until a worker acknowledges it or `progress` is stopped.
+/// Releases the KV cache and the slot of a request, until a worker acknowledges it or `progress` is cancelled.
 ///
 /// Dropping the future cancels all calls in flight. Those that are not written yet are never sent.
 pub(super) async fn release_cache(
@@ -42,8 +42,8 @@
 ) {
     let release = CacheRelease::new(client, request, progress);
     tokio::select! {
-        // A stopped release must not write anything more, so the stop is checked before each poll of the
-        // release.
+        // A cancelled release must not write anything more, so the cancellation is checked before each poll
+        // of the release.
         biased;
         () = progress.cancelled() => {}
         () = release.run() => {}
@@ -105,7 +105,7 @@
     fn next_candidate(&mut self) -> Option<WorkerId> {
         if self.candidates.is_empty() {
             // All candidates were called without success, or none was known: read the endpoint list again.
-            self.candidates = self.client.directory.running(MAX_CANDIDATES);
+            self.candidates = self.client.directory.running_workers(MAX_CANDIDATES);
             self.candidates.reverse();
         }
         self.candidates.pop()
--- a/src/net/upstream/slot.rs
+++ b/src/net/upstream/slot.rs
@@ -14,7 +14,7 @@
     format!("/internal/reservations/{}", request.id)
 }
 
-/// Spawns a task that reserves a slot at a decode worker and submits the worker's answer, reserved or
+/// Spawns a task that reserves a slot at a decode worker and submits the worker's response, reserved or
 /// refused, to the driver. Nothing is submitted if the call fails or has another status.
 pub(super) fn reserve_slot(
     client: &UpstreamClient,
--- a/src/net/upstream/write_guard.rs
+++ b/src/net/upstream/write_guard.rs
@@ -3,7 +3,7 @@
 //! The policy decides on an attempt before a cache release is awaited and a connection is established. In
 //! the meantime the worker may have started to drain, the client may have disconnected, or a deadline may
 //! have passed. The rule is [`rules::send::check_write`](crate::rules::send::check_write); the guard supplies
-//! its inputs. An attempt that the guard stops is called withheld.
+//! its inputs. An attempt that fails the check is called withheld.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 use crate::net::discovery::Directory;
@@ -39,7 +39,7 @@
     fn check(&self, now: Micros) -> Result<(), WithholdReason> {
         check_write(&AttemptSnapshot {
             is_request_open: self.request_state.is_open(),
-            client_disconnected: self.client.is_closed(),
+            client_disconnected: self.client.has_disconnected(),
             now,
             deadline: self.deadline,
             deduplication_deadline: self.deduplication_deadline,
@@ -62,16 +62,16 @@
     /// request can be withheld up to that byte.
     pub(super) fn write_guard(&self, attempt: &Attempt) -> WriteGuard {
         let guard = AttemptGuard::new(attempt, &self.directory);
-        let (clock, counters, begun) =
+        let (clock, counters, write_started) =
             (self.driver.clock, self.counters.clone(), attempt.write_started.clone());
         let (request, index) = (attempt.forwarded.id.clone(), attempt.index);
         Box::new(move || {
             guard.check(clock.now()).map_err(|reason| {
                 log::debug!("request {request}: attempt {} withheld: {reason}", index.0);
                 // A partly written request has not run, because the worker never receives its last byte.
-                if begun.get() { Outcome::ConnectFailed } else { reason.outcome() }
+                if write_started.get() { Outcome::ConnectFailed } else { reason.outcome() }
             })?;
-            if !begun.replace(true) {
+            if !write_started.replace(true) {
                 counters.attempts_sent.increment();
             }
             Ok(())
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -31,14 +31,14 @@
 pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
 
 impl ClientConnection {
-    /// A connection whose state `is_closed` returns.
-    pub fn new(is_closed: Rc<dyn Fn() -> bool>) -> Self {
-        ClientConnection(Some(is_closed))
+    /// A connection whose state `has_disconnected` returns.
+    pub fn new(has_disconnected: Rc<dyn Fn() -> bool>) -> Self {
+        ClientConnection(Some(has_disconnected))
     }
 
-    /// Whether the client has closed the connection.
-    pub fn is_closed(&self) -> bool {
-        self.0.as_ref().is_some_and(|is_closed| is_closed())
+    /// Whether the client has disconnected.
+    pub fn has_disconnected(&self) -> bool {
+        self.0.as_ref().is_some_and(|has_disconnected| has_disconnected())
     }
 }
 
--- a/tests/attempts/cancellation.rs
+++ b/tests/attempts/cancellation.rs
@@ -56,10 +56,10 @@
         attempt.forwarded =
             Rc::new(ForwardedRequest { body: worker.body.clone(), ..forwarded_request("id-1") });
         attempt.deadline = upstream.now() + timeout.unwrap_or(10 * SECOND);
-        let begun = attempt.write_started.clone();
+        let write_started = attempt.write_started.clone();
         upstream.client.send(attempt);
         for _ in 0..MAX_SCHEDULER_TURNS {
-            if begun.get() {
+            if write_started.get() {
                 break;
             }
             tokio::task::yield_now().await;
@@ -131,14 +131,14 @@
         let listener = FullListener::start();
         let mut upstream = UpstreamHarness::start(&[(WORKER, listener.address)], 1);
         let attempt = upstream.attempt(WORKER, "id-1");
-        let begun: Rc<Cell<bool>> = attempt.write_started.clone();
+        let write_started: Rc<Cell<bool>> = attempt.write_started.clone();
         upstream.client.send(attempt);
         while upstream.client.counters.upstream_connections.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         upstream.cancel = None;
         assert_eq!(upstream.next_outcome().await, Outcome::Cancelled);
-        assert!(!begun.get() && upstream.client.pool.available_connections() == 1);
+        assert!(!write_started.get() && upstream.client.pool.available_connections() == 1);
     })
     .await;
 }
@@ -191,9 +191,9 @@
         let mut upstream = UpstreamHarness::start(&[(WORKER, worker.address)], 4);
         for id in ["id-1", "id-2"] {
             let attempt = upstream.attempt(WORKER, id);
-            let begun = attempt.write_started.clone();
+            let write_started = attempt.write_started.clone();
             upstream.client.send(attempt);
-            while !begun.get() {
+            while !write_started.get() {
                 tokio::task::yield_now().await;
             }
             upstream.client.pool.close_all_idle();
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -137,11 +137,11 @@
         let mut client = blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
-        assert!(!submitted.forwarded.client.is_closed());
+        assert!(!submitted.forwarded.client.has_disconnected());
         // There is no await between the close and the check, so the runtime does not run.
         client.write_all(sent_before_close.as_bytes()).unwrap();
         drop(client);
-        assert!(submitted.forwarded.client.is_closed(), "the close was not detected");
+        assert!(submitted.forwarded.client.has_disconnected(), "the close was not detected");
         assert_eq!(server.next_disconnected().await, submitted.spec.request);
     })
     .await;
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -287,5 +287,5 @@
         assert_eq!(gone.iter().map(|worker| worker.0.to_string()).collect::<Vec<_>>(), [format!("h{i}")]);
         assert!(!directory.is_ready(&gone[0]) && directory.address(&gone[0]).is_none());
     }
-    assert!(directory.running(usize::MAX).is_empty());
+    assert!(directory.running_workers(usize::MAX).is_empty());
 }
