--- a/src/main.rs
+++ b/src/main.rs
@@ -6,13 +6,13 @@
 use std::process::ExitCode;
 
 const USAGE: &str =
-    "usage: llm-router                      serve on the platform (NODE_CONFIG names the configuration)
-       llm-router serve FILE           serve by an operator's file
-       llm-router import haproxy FILE  write an operator's file from HAProxy's configuration";
+    "usage: llm-router                      serve with the JSON configuration file that NODE_CONFIG names
+       llm-router serve FILE           serve with an operator's TOML file
+       llm-router import haproxy FILE  convert an HAProxy configuration to an operator's file";
 
 /// A parsed command line.
 enum Command {
-    ServePlatform,
+    ServeFromEnvironment,
     ServeFile(String),
     ImportHaproxy(String),
     Help,
@@ -45,7 +45,7 @@
     fn parse(arguments: &[String]) -> Result<Self, CommandError> {
         let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
         match arguments.as_slice() {
-            [] => Ok(Command::ServePlatform),
+            [] => Ok(Command::ServeFromEnvironment),
             ["serve", file] => Ok(Command::ServeFile((*file).to_owned())),
             ["import", "haproxy", file] => Ok(Command::ImportHaproxy((*file).to_owned())),
             ["-h" | "--help" | "help"] => Ok(Command::Help),
@@ -55,8 +55,8 @@
 
     fn execute(self, log: &Log) -> Result<(), CommandError> {
         match self {
-            Command::ServePlatform => serve(ConfigSource::platform()?, log)?,
-            Command::ServeFile(file) => serve(ConfigSource::operator(&file), log)?,
+            Command::ServeFromEnvironment => serve(ConfigSource::from_environment()?, log)?,
+            Command::ServeFile(file) => serve(ConfigSource::operator_file(&file), log)?,
             Command::ImportHaproxy(file) => import_haproxy(file)?,
             Command::Help => println!("{USAGE}"),
         }
--- a/src/net/server/request_label.rs
+++ b/src/net/server/request_label.rs
@@ -5,7 +5,7 @@
 use hyper::header::HeaderValue;
 use std::fmt;
 
-/// The request id header of the platform protocol.
+/// The header with the request id in the chat completion protocol.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Displays as `request ID`, or as `request` if its head has no valid id.
--- a/src/process/source.rs
+++ b/src/process/source.rs
@@ -3,7 +3,7 @@
 use super::StartError;
 use crate::config::Config;
 
-/// The environment variable with the path of the platform's configuration file.
+/// The environment variable that holds the path of the JSON configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
 
 /// A configuration file and its format.
@@ -15,25 +15,25 @@
 
 #[derive(Debug)]
 enum Format {
-    /// The platform's JSON file; the environment supplies absent fields.
-    Platform,
-    /// The operator's TOML file.
-    Operator,
+    /// The JSON file of a managed deployment; environment variables supply absent fields.
+    Json,
+    /// An operator's TOML file.
+    Toml,
 }
 
 impl ConfigSource {
-    /// The platform's configuration file, whose path is in the environment.
+    /// The JSON configuration file that `NODE_CONFIG` names.
     ///
     /// # Errors
-    /// The environment variable is not set.
-    pub fn platform() -> Result<Self, StartError> {
+    /// `NODE_CONFIG` is not set, or not valid UTF-8.
+    pub fn from_environment() -> Result<Self, StartError> {
         let file = std::env::var(CONFIG_VARIABLE).map_err(|_| StartError::ConfigNotNamed)?;
-        Ok(ConfigSource { file, format: Format::Platform })
+        Ok(ConfigSource { file, format: Format::Json })
     }
 
-    /// An operator's configuration file.
-    pub fn operator(file: &str) -> Self {
-        ConfigSource { file: file.to_owned(), format: Format::Operator }
+    /// An operator's TOML file.
+    pub fn operator_file(file: &str) -> Self {
+        ConfigSource { file: file.to_owned(), format: Format::Toml }
     }
 
     /// Reads and parses the file.
@@ -43,8 +43,8 @@
     pub fn load(&self) -> Result<Config, StartError> {
         let text = read_file(&self.file)?;
         let config = match self.format {
-            Format::Platform => Config::from_json(&text, non_empty_variable)?,
-            Format::Operator => Config::from_toml(&text)?,
+            Format::Json => Config::from_json(&text, non_empty_variable)?,
+            Format::Toml => Config::from_toml(&text)?,
         };
         Ok(config)
     }
