--- a/src/frontend/jsonrpc/active_calls.rs
+++ b/src/frontend/jsonrpc/active_calls.rs
@@ -96,7 +96,7 @@
         self.is_streaming.set(true);
     }
 
-    /// Resolves when the call is interrupted. Cancel-safe: once interrupted, every later wait resolves at
+    /// Resolves when the call is interrupted. Cancel safe: once interrupted, every later wait resolves at
     /// once.
     pub async fn interrupted(&mut self) -> Interruption {
         match self.interruption.wait_for(Option::is_some).await.as_deref() {
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -7,7 +7,7 @@
 /// Converts the driver's microseconds to the seconds of error objects.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why the router answers a client's request with an error.
+/// Why the router responds to a client's request with an error.
 ///
 /// The `Display` text is the error object's message and part of the protocol, where "in hand" means active
 /// and "refused" means rejected.
@@ -102,7 +102,7 @@
     }
 }
 
-/// Why the router, rather than the tool, answers a decode worker's tool call with an error.
+/// Why the router, rather than the tool, responds to a decode worker's tool call with an error.
 ///
 /// The `Display` text is the error object's message and part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/src/frontend/jsonrpc/message_handler.rs
+++ b/src/frontend/jsonrpc/message_handler.rs
@@ -49,7 +49,7 @@
         MessageHandler { context, client }
     }
 
-    /// Decodes and answers the message.
+    /// Decodes the message and responds to it.
     pub async fn respond(self, body: Bytes) -> Response<ResponseBody> {
         if body.trim_ascii_start().starts_with(b"[") {
             return match serde_json::from_slice::<Vec<Box<RawValue>>>(&body) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Answers a single request. A separate task relays an answer that streams.
+    /// Responds to a single request. An answer that streams is relayed by a separate task.
     async fn respond_to_request(self, request: RpcRequest) -> Response<ResponseBody> {
         if request.is_notification() {
             self.handle_notification(&request);
@@ -142,7 +142,12 @@
     fn handle_notification(&self, notification: &RpcRequest) {
         if notification.method != CANCEL_METHOD || self.cancel(notification).is_err() {
             self.context.counters.requests_malformed.increment();
-            log::debug!("ignored a notification with method {:?}", notification.method);
+            log::debug!(
+                "connection {}: ignored a JSON-RPC notification: method {:?} is unknown or its parameters \
+                 are invalid",
+                self.client.number(),
+                notification.method
+            );
         }
     }
 
--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! When a stream breaks, the client's connection closes without the last chunk. The client resumes: it sends
 //! its request again under the same name and states how much of the answer it has received. The replay buffer
-//! answers the tool calls that have already run.
+//! supplies the outcomes of tool calls that have already run.
 //!
 //! | module | responsibility |
 //! | --- | --- |
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -45,8 +45,8 @@
         self.context.active_call.name().clone()
     }
 
-    /// Relays the answer with its tool calls, and returns the final JSON-RPC response. The request's name is
-    /// free once this returns.
+    /// Relays the answer with its tool calls, and returns the JSON-RPC response that ends it. The request's
+    /// name is free once this returns.
     ///
     /// # Errors
     /// The answer is incomplete.
@@ -67,7 +67,7 @@
     async fn relay_stream(&mut self, output: &mut AnswerOutput) -> Result<(), RelayError> {
         loop {
             // Biased: a stream that always has a frame ready must not starve interruptions and disconnects.
-            // Each branch is cancel-safe.
+            // Each branch is cancel safe.
             let frame = tokio::select! {
                 biased;
                 interruption = self.context.active_call.interrupted() => return Err(interruption.into()),
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Sends the text of a chunk, and records its finish reason and token counts for the final response.
+    /// Sends the text of a chunk, and records its finish reason and token counts for the JSON-RPC response.
     async fn relay_chunk(&mut self, chunk: AnswerChunk, output: &mut AnswerOutput) -> Result<(), RelayError> {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
@@ -136,7 +136,7 @@
         relay.run(&self.replay_buffer).await
     }
 
-    /// Builds the final response, after a complete answer.
+    /// Builds the JSON-RPC response after a complete answer.
     fn response(&self, output: &AnswerOutput) -> Vec<u8> {
         let result = AnswerResult {
             request: self.context.active_call.name(),
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -3,8 +3,8 @@
 //!
 //! The key of a call consists of the client's name for its request and the call's ordinal in the answer; the
 //! decode worker's id for the call is no part of it. The entry is created before the first byte is sent to
-//! the tool server, and outlives the stream, the worker and the client's connection. A repeated call is
-//! answered from its entry.
+//! the tool server, and outlives the stream, the worker and the client's connection. A repeated call gets
+//! its outcome from its entry.
 
 use super::error::ToolCallError;
 use super::protocol::{ToolRequest, encode};
@@ -113,9 +113,9 @@
         })
     }
 
-    /// Answers a tool call from its entry, by waiting for the same call in flight, or by executing it, at
-    /// most once for each key. Dropping the future leaves the call running, as its outcome is needed when the
-    /// answer is resumed.
+    /// Returns the outcome of a tool call: from its entry, by waiting for the same call in flight, or by
+    /// executing the call, at most once for each key. Dropping the future leaves the call running, as its
+    /// outcome is needed when the answer is resumed.
     ///
     /// # Errors
     /// The router has no reply from the tool.
@@ -167,7 +167,7 @@
         let arguments_digest = digest_arguments(method, params);
         if let Some(entry) = self.entries.borrow().by_key.get(&key) {
             // After a resume a model may make a different call at the same position: the recorded outcome
-            // does not answer it, and running it would be a second execution under one key.
+            // is not that of the new call, and running it would be a second execution under one key.
             if entry.arguments_digest != arguments_digest {
                 return Err(ToolCallError::KeyReused);
             }
@@ -237,7 +237,7 @@
     }
 }
 
-/// Waits for the outcome of a call in flight. Cancel-safe: the outcome stays in the channel.
+/// Waits for the outcome of a call in flight. Cancel safe: the outcome stays in the channel.
 async fn wait_for_outcome(mut pending: watch::Receiver<Option<ToolOutcome>>) -> ToolOutcome {
     match pending.wait_for(Option::is_some).await.as_deref() {
         Ok(Some(outcome)) => outcome.clone(),
--- a/src/frontend/jsonrpc/tool_call.rs
+++ b/src/frontend/jsonrpc/tool_call.rs
@@ -54,7 +54,7 @@
         };
         let notification = self.notification(state);
         self.output.send_line(notification).await?;
-        // On a stream that ended before its tool call was answered, the worker can't use the result.
+        // If the worker's stream ended before the tool call completed, the worker can't use the result.
         if stream_ended { Err(RelayError::EndedDuringToolCall) } else { Ok(()) }
     }
 
@@ -84,7 +84,9 @@
                 interruption = self.active_call.interrupted() => return Err(interruption.into()),
                 () = &mut disconnected => return Err(RelayError::ClientDisconnected),
                 // Buffers the worker's stream up to a limit; beyond it, the worker sees backpressure.
-                frame = self.stream.next(), if !stream_ended && self.decoder.buffered_bytes() < MAX_EVENT_BYTES => {
+                frame = self.stream.next(),
+                    if !stream_ended && self.decoder.buffered_bytes() < MAX_EVENT_BYTES =>
+                {
                     match frame {
                         Some(Frame::Data(data)) => self.decoder.push(&data)?,
                         Some(Frame::End) => stream_ended = true,
--- a/src/frontend/service.rs
+++ b/src/frontend/service.rs
@@ -27,7 +27,7 @@
 
 const HEALTH_PATH: &str = "/healthz";
 
-/// Answers the requests of all client connections.
+/// Handles the requests of all client connections.
 #[derive(Clone)]
 pub struct RequestService {
     /// The state shared by all connections.
@@ -38,15 +38,15 @@
 
 /// Resources that a request holds until its last attempt or cache release has ended, which may be after its
 /// response. Freed earlier, its id could be used by another client while a worker still streams the first
-/// answer.
+/// response.
 struct RequestResources {
     _id: ActiveRequestId,
     _body_memory: MemoryReservation,
 }
 
 impl RequestService {
-    /// Answers one request. A request that can't be submitted to the driver is answered with an error,
-    /// counted and logged.
+    /// Responds to one request. A request that can't be submitted to the driver gets an error response, and
+    /// is counted and logged.
     async fn respond(self, received: ReceivedRequest) -> Response<ResponseBody> {
         let ReceivedRequest { request, client, shutdown } = received;
         let label = RequestLabel::new(&request);
@@ -64,7 +64,7 @@
                 }
                 status => {
                     let status = status.as_u16();
-                    log::debug!("connection {}: {label} answered with {status}: {reason}", client.number());
+                    log::debug!("connection {}: {label} got status {status}: {reason}", client.number());
                 }
             }
             response
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Answers a health check.
+    /// Responds to a health check.
     fn health(&self) -> Response<ResponseBody> {
         if (self.context.is_ready)() {
             plain_text(StatusCode::OK, "ready\n")
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Answers a chat completion request.
+    /// Submits a chat completion request to the driver and responds with its result.
     async fn complete_chat(
         &self,
         request: Request<Incoming>,
--- a/src/net/discovery/agent.rs
+++ b/src/net/discovery/agent.rs
@@ -1,4 +1,4 @@
-//! State of the exchange with the discovery agent.
+//! The state of polling and watching the discovery agent.
 
 use super::update::EndpointUpdate;
 use std::cell::Cell;
@@ -23,7 +23,7 @@
     },
 }
 
-/// State of the exchange with the current agent, reset when the agent's address changes.
+/// The state of polling and watching the current agent, reset when the agent's address changes.
 ///
 /// The fields are cells since a watch and a concurrent poll in the same task both update them.
 #[derive(Default)]
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -12,8 +12,8 @@
 /// Maximum delay for a local agent, where calls are cheap and an update is due as soon as the agent has it.
 /// The maximum delay for a shared service is at least this.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// Share of each router in the maximum delay for a shared service: all routers together make 25 calls per
-/// second on average.
+/// Share of each router in the maximum delay for a shared service: routers that all wait that long together
+/// make 25 calls per second.
 const SHARED_BACKOFF_PER_ROUTER: Duration = Duration::from_millis(40);
 /// Number of consecutive failures after the first that double the maximum delay.
 const MAX_DOUBLINGS: u32 = 2;
--- a/src/net/discovery/connector.rs
+++ b/src/net/discovery/connector.rs
@@ -9,15 +9,15 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
-/// A bidirectional byte stream to discovery.
+/// A bidirectional byte stream to the agent.
 pub trait DiscoveryStream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> DiscoveryStream for T {}
 
-/// Opens a connection to discovery at an address. Dropping the future cancels the attempt.
+/// Opens a connection to the agent at an address. Dropping the future cancels the attempt.
 pub type Connector = Rc<dyn Fn(SocketAddr) -> LocalBoxFuture<io::Result<Box<dyn DiscoveryStream>>>>;
 
-/// Returns a connector that uses TCP.
+/// A connector that uses TCP.
 pub fn tcp_connector() -> Connector {
     Rc::new(|address| {
         Box::pin(async move {
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -7,10 +7,10 @@
 /// The reason why a call failed or a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// Connecting to discovery failed.
+    /// Connecting to the agent failed.
     #[error("connecting to {address}: {source}")]
     Connect {
-        /// Address of discovery.
+        /// The agent's address.
         address: SocketAddr,
         /// The error of the system call.
         source: io::Error,
@@ -18,7 +18,7 @@
     /// The HTTP handshake on the connection failed.
     #[error("HTTP handshake with {address}: {source}")]
     Handshake {
-        /// Address of discovery.
+        /// The agent's address.
         address: SocketAddr,
         /// The error from hyper.
         source: hyper::Error,
@@ -26,7 +26,7 @@
     /// The request could not be built.
     #[error("building the request GET {target}: {source}")]
     BuildRequest {
-        /// Path and query of the request.
+        /// The path and query of the request.
         target: String,
         /// The reason why the request is invalid.
         source: hyper::http::Error,
@@ -34,9 +34,9 @@
     /// The request could not be sent, or the connection failed before the response head.
     #[error("GET {target} at {address}: {source}")]
     Request {
-        /// Address of discovery.
+        /// The agent's address.
         address: SocketAddr,
-        /// Path and query of the request.
+        /// The path and query of the request.
         target: String,
         /// The error from hyper.
         source: hyper::Error,
@@ -44,9 +44,9 @@
     /// The response status is not 200.
     #[error("GET {target} at {address}: unexpected status {status}")]
     Status {
-        /// Address of discovery.
+        /// The agent's address.
         address: SocketAddr,
-        /// Path and query of the request.
+        /// The path and query of the request.
         target: String,
         /// The response status.
         status: hyper::StatusCode,
@@ -54,9 +54,9 @@
     /// The call timed out.
     #[error("GET {target} at {address}: no response within {timeout:?}")]
     CallTimedOut {
-        /// Address of discovery.
+        /// The agent's address.
         address: SocketAddr,
-        /// Path and query of the request.
+        /// The path and query of the request.
         target: String,
         /// The timeout of the call.
         timeout: Duration,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,6 +1,10 @@
 //! Service discovery: the endpoint list and the watch that keeps it up to date.
 //!
-//! [`EndpointWatcher`] polls the discovery agent, watches it for changes, applies updates to the
+//! Discovery is either an agent on the same machine or a service that all routers share; both are called the
+//! agent here, and `mode` describes the difference. A poll returns a snapshot, the complete endpoint list. A
+//! watch delivers deltas, and a snapshot if the agent sends one.
+//!
+//! [`EndpointWatcher`] polls the agent, watches it for changes, applies updates to the
 //! [`Directory`] and notifies the driver. While discovery is unreachable or unresponsive, the current list
 //! stays in use: losing discovery never takes a worker out of service.
 
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -78,7 +78,7 @@
     /// If the future is dropped early, the listener closes and the accepted connections continue.
     pub async fn accept(self, listener: TcpListener) {
         // At its concurrency limit the handler is not ready; load shedding turns that into an error, which
-        // `ConnectionHandler` answers with a rejection.
+        // `ConnectionHandler` turns into a rejection.
         let limited = ServiceBuilder::new()
             .load_shed()
             .concurrency_limit(self.max_waiting_requests)
@@ -128,7 +128,7 @@
     async fn enforce_hard_limit(&self) {
         while self.connections.count() > self.max_connections + RESERVED_CONNECTIONS {
             self.connections.evict_immediately(&self.counters);
-            // An evicted connection that receives a request before it closes answers it first; after the
+            // An evicted connection that receives a request before it closes responds first; after the
             // timeout another one is evicted.
             let _ = tokio::time::timeout(EVICTION_TIMEOUT, self.connections.slot_released()).await;
         }
--- a/src/net/server/accept/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -14,7 +14,7 @@
 use tokio::task::LocalSet;
 use tower::Service;
 
-/// A handler that answers every request with an empty response.
+/// A handler that returns an empty response to every request.
 #[derive(Clone)]
 struct EmptyResponses;
 
--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -35,7 +35,7 @@
     is_last_response: Cell<bool>,
     is_write_blocked: Cell<bool>,
     eviction: Cell<Eviction>,
-    has_answered: Cell<bool>,
+    has_responded: Cell<bool>,
     pipelining: PipelineWait,
     changed: Notify,
     framing: RefCell<FramingParser>,
@@ -46,8 +46,8 @@
 struct PipelineWait {
     /// When bytes of the next request were first detected after the active one.
     next_since: Cell<Option<Instant>>,
-    /// The same for the current request, which is the one read last.
-    current_since: Cell<Option<Instant>>,
+    /// When bytes of the active request, which was read last, were first detected after the one before it.
+    active_since: Cell<Option<Instant>>,
 }
 
 impl PipelineWait {
@@ -58,14 +58,14 @@
         }
     }
 
-    /// Makes the next request the current one when its first bytes are read.
+    /// Makes the next request the active one when its first bytes are read.
     fn begin_request(&self) {
-        self.current_since.set(self.next_since.take());
+        self.active_since.set(self.next_since.take());
     }
 
-    /// The time since the current request was first detected while it waited; zero if it did not wait.
+    /// The time since the active request was first detected while it waited; zero if it did not wait.
     fn elapsed(&self) -> Duration {
-        self.current_since.get().map_or(Duration::ZERO, |since| since.elapsed())
+        self.active_since.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
 }
 
@@ -82,7 +82,7 @@
             is_last_response: Cell::new(false),
             is_write_blocked: Cell::new(false),
             eviction: Cell::new(Eviction::None),
-            has_answered: Cell::new(false),
+            has_responded: Cell::new(false),
             pipelining: PipelineWait::default(),
             changed: Notify::new(),
             framing: RefCell::default(),
@@ -104,7 +104,7 @@
         ConnectionSnapshot {
             phase: self.phase.get(),
             accepted_at: self.accepted_at,
-            has_answered: self.has_answered.get(),
+            has_responded: self.has_responded.get(),
             is_write_blocked: self.is_write_blocked.get(),
             eviction: self.eviction.get(),
             is_closing_phase,
@@ -126,7 +126,7 @@
         self.eviction.get()
     }
 
-    /// Resolves when the connection enters another phase or is evicted. Cancel-safe: a change without a
+    /// Resolves when the connection enters another phase or is evicted. Cancel safe: a change without a
     /// waiter resolves the next call.
     pub async fn changed(&self) {
         self.changed.notified().await;
@@ -152,7 +152,7 @@
         socket_probe::is_closed_by_peer(&self.stream)
     }
 
-    /// Resolves when the client has closed the connection or its sending side. Cancel-safe.
+    /// Resolves when the client has closed the connection or its sending side. Cancel safe.
     pub async fn disconnected(&self) {
         while !self.has_disconnected() {
             let Ok(ready) = self.stream.ready(Interest::READABLE).await else { return };
@@ -249,7 +249,7 @@
     /// Records that hyper is done with a response. Opens the gate for the next request unless this response
     /// was the last.
     pub fn finish_response(&self) {
-        self.has_answered.set(true);
+        self.has_responded.set(true);
         self.enter_phase(ConnectionPhase::Idle(Instant::now()));
         if !self.is_last_response.get() {
             self.gate.open();
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -37,7 +37,7 @@
     let reason = serve_requests(handler, &client).await;
     log::debug!("connection {}: ends: {reason}", client.number());
     match reason {
-        // hyper has already answered malformed HTTP with a 4xx.
+        // hyper has already sent a 4xx response to malformed HTTP.
         CloseReason::MalformedRequest => counters.requests_malformed.increment(),
         CloseReason::RequestTimeout => {
             counters.requests_timed_out.increment();
@@ -84,7 +84,7 @@
             }
             Ok(()) = shutdown.changed() => {}
             () = client.changed() => {}
-            // Only while streaming: a client that disconnects before its response begins is still answered,
+            // Only while streaming: a client that disconnects before its response begins still gets it,
             // since it may have shut down only its sending side.
             () = client.disconnected(), if client.phase() == ConnectionPhase::Streaming => {
                 return CloseReason::ClientDisconnected;
--- a/src/net/server/connection_handler.rs
+++ b/src/net/server/connection_handler.rs
@@ -41,7 +41,7 @@
 }
 
 impl<H: RequestHandler> ConnectionHandler<H> {
-    /// Answers a request, and marks the response with `Connection: close` if it is the connection's last.
+    /// Responds to a request, and marks the response with `Connection: close` if it is the connection's last.
     async fn respond(self, request: Request<Incoming>) -> Response<TrackedBody<H::Body>> {
         let mut response = self.handle(request).await;
         if self.is_last_response() {
@@ -76,7 +76,7 @@
     }
 
     /// Whether the connection closes after this response. During a graceful shutdown it stays open if another
-    /// request has been received, which is then answered with a rejection.
+    /// request has been received, which is then rejected.
     fn is_last_response(&self) -> bool {
         let is_closing = *self.shutdown.borrow() == ShutdownPhase::Closing;
         self.is_over_limit
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -27,7 +27,7 @@
 /// The result of an attempt to evict a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionResult {
-    /// A connection was evicted. If it receives a request before it closes, it answers that first.
+    /// A connection was evicted. If it receives a request before it closes, it responds first.
     Requested,
     /// No connection may be evicted.
     NoCandidate,
@@ -53,7 +53,7 @@
         self.open.borrow().len()
     }
 
-    /// Resolves when a connection has ended and released its slot. Cancel-safe; supports a single waiter.
+    /// Resolves when a connection has ended and released its slot. Cancel safe; supports a single waiter.
     pub async fn slot_released(&self) {
         self.slot_released.notified().await;
     }
--- a/src/net/server/framing.rs
+++ b/src/net/server/framing.rs
@@ -3,7 +3,7 @@
 //! hyper accepts a head with both `Content-Length` and `Transfer-Encoding` and drops one of them before the
 //! service sees the head. Such a head may hide a second request in its body (request smuggling), so this
 //! module inspects the bytes of each head. It also finds the end of each request, since no byte after it may
-//! be read before the request has been answered.
+//! be read before the response is complete.
 
 use std::collections::VecDeque;
 
--- a/src/net/server/gated_socket.rs
+++ b/src/net/server/gated_socket.rs
@@ -1,4 +1,5 @@
-//! The I/O of a client connection as passed to hyper: reading stops after each request until it is answered.
+//! The I/O of a client connection as passed to hyper: reading stops after each request until
+//! its response is complete.
 
 use crate::net::failure::{TransferFailure, classify_transfer_error};
 use crate::net::server::client_socket::ClientSocket;
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -10,7 +10,7 @@
 use std::convert::Infallible;
 use tower::{BoxError, Service};
 
-/// Answers the requests of all connections.
+/// Handles the requests of all connections.
 ///
 /// It is cloned for each request. The future of a call is dropped if its connection ends first.
 pub trait RequestHandler:
--- a/src/net/server/lingering_close.rs
+++ b/src/net/server/lingering_close.rs
@@ -16,7 +16,7 @@
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same for an evicted connection; it covers a round trip on any ordinary network.
 const EVICTED_LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// The maximum number of bytes of an answered request that are read and discarded while lingering.
+/// The maximum number of bytes of a request's body that are read and discarded after its response.
 const MAX_DISCARDED_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// The size of the buffer for discarded bytes.
 const DISCARD_BUFFER_BYTES: usize = 8 * 1024;
@@ -33,9 +33,9 @@
     }
 }
 
-/// Shuts down the sending side, then waits until the client has closed. The rest of a request that has been
-/// answered is read and discarded, since a client that is still sending might be reset otherwise; nothing
-/// after that request is read.
+/// Shuts down the sending side, then waits until the client has closed. The rest of a request that
+/// already has its response is read and discarded, since a client that is still sending might be reset
+/// otherwise. Nothing after that request is read.
 ///
 /// If the future is dropped early, the sending side stays shut down.
 async fn shut_down_and_wait_for_client(client: &Rc<ClientSocket>) {
@@ -43,7 +43,7 @@
     // The second branch never resolves: it only reads while the client is connected.
     tokio::select! {
         () = client.disconnected() => {}
-        () = discard_answered_request(client) => {}
+        () = discard_request_body(client) => {}
     }
     // A client that has shut down only its sending side may still be reading: closing with unread bytes would
     // reset it. The caller's timeout ends the wait.
@@ -52,8 +52,8 @@
     }
 }
 
-/// Reads and discards the rest of the body of an answered request. Never resolves.
-async fn discard_answered_request(client: &Rc<ClientSocket>) {
+/// Reads and discards the rest of the body of a request that already has its response. Never resolves.
+async fn discard_request_body(client: &Rc<ClientSocket>) {
     let mut socket = GatedSocket::new(client.clone());
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
     let mut remaining = MAX_DISCARDED_BYTES;
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -58,10 +58,11 @@
         Ok(result)
     }
 
-    /// Waits for a cache release of the same request, if one is in progress, and stops it.
+    /// Waits for a cache release of the same request, if one is in progress, and then cancels it.
     ///
-    /// A release that reached a worker after this attempt's prefill would remove the KV cache that the decode
-    /// worker is about to fetch. So the release goes first, and makes no more calls once the prefill is sent.
+    /// A release that reached the worker during or after this attempt's prefill would remove the KV cache
+    /// that the prefill leaves for the decode worker. So the release goes first, and makes no more calls once
+    /// the prefill is sent.
     async fn wait_for_release(&mut self) -> Result<(), Outcome> {
         let Some(release) = self.attempt.pending_release.take() else { return Ok(()) };
         tokio::select! {
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -19,7 +19,8 @@
 
 /// The delay before the first call, so that the worker has seen the attempt's connection close.
 const RELEASE_DELAY: Duration = Duration::from_millis(5);
-/// The time after which another worker is called while a call awaits its response: well within [`RELEASE_PERIOD`].
+/// The time after which another worker is called while a call awaits its response: well within
+/// [`RELEASE_PERIOD`].
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
 /// The period in which new calls are started: a KV cache must be released about 0.4 s after the policy's
 /// decision.
@@ -32,7 +33,8 @@
 /// The timeout of a single call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Releases the KV cache and the slot of a request, until a worker acknowledges it or `progress` is cancelled.
+/// Releases the KV cache and the slot of a request, until a worker acknowledges the release or `progress` is
+/// cancelled.
 ///
 /// Dropping the future cancels all calls in flight. Those that are not written yet are never sent.
 pub(super) async fn release_cache(
--- a/src/process/source.rs
+++ b/src/process/source.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 enum Format {
-    /// The JSON file of a managed deployment; environment variables supply absent fields.
+    /// A JSON file; environment variables supply absent fields.
     Json,
     /// An operator's TOML file.
     Toml,
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -59,8 +59,8 @@
     pub phase: ConnectionPhase,
     /// When the connection was accepted.
     pub accepted_at: Instant,
-    /// Whether at least one request has been answered on it.
-    pub has_answered: bool,
+    /// Whether at least one response has been sent on it.
+    pub has_responded: bool,
     /// Whether output is pending because the client does not read it.
     pub is_write_blocked: bool,
     /// Whether the connection is evicted.
@@ -119,7 +119,7 @@
 /// When and why a connection is to be closed if its state does not change; `None` while a request is in
 /// flight on it or the router has already shut down its sending side.
 pub fn close_deadline(connection: &ConnectionSnapshot) -> Option<(Instant, CloseReason)> {
-    let ConnectionSnapshot { accepted_at, has_answered, is_closing_phase, .. } = *connection;
+    let ConnectionSnapshot { accepted_at, has_responded, is_closing_phase, .. } = *connection;
     let is_evicted = connection.eviction > Eviction::None;
     let overdue_reason =
         if connection.is_write_blocked { CloseReason::WriteTimeout } else { CloseReason::RequestTimeout };
@@ -129,16 +129,16 @@
             Some((since + CLIENT_WRITE_TIMEOUT, CloseReason::WriteTimeout))
         }
         ConnectionPhase::Idle(_) if is_evicted => Some((accepted_at, CloseReason::Evicted)),
-        ConnectionPhase::Idle(since) if is_closing_phase && has_answered => {
+        ConnectionPhase::Idle(since) if is_closing_phase && has_responded => {
             Some((since, CloseReason::Shutdown))
         }
-        ConnectionPhase::Idle(since) if has_answered => Some((since + IDLE_TIMEOUT, CloseReason::Idle)),
+        ConnectionPhase::Idle(since) if has_responded => Some((since + IDLE_TIMEOUT, CloseReason::Idle)),
         ConnectionPhase::Idle(_) if is_closing_phase => {
             Some((accepted_at + SHUTDOWN_FIRST_BYTE_TIMEOUT, CloseReason::Shutdown))
         }
         ConnectionPhase::Idle(since) => Some((since + FIRST_BYTE_TIMEOUT, CloseReason::Silent)),
         ConnectionPhase::ReceivingRequest(_) if is_evicted => Some((accepted_at, overdue_reason)),
-        ConnectionPhase::ReceivingRequest(_) if !has_answered => {
+        ConnectionPhase::ReceivingRequest(_) if !has_responded => {
             Some((accepted_at + REQUEST_TIMEOUT, overdue_reason))
         }
         ConnectionPhase::ReceivingRequest(since) => Some((since + REQUEST_TIMEOUT, overdue_reason)),
@@ -150,7 +150,7 @@
 /// accepted.
 pub fn is_idle_between_requests(connection: &ConnectionSnapshot) -> bool {
     matches!(connection.phase, ConnectionPhase::Idle(_))
-        && connection.has_answered
+        && connection.has_responded
         && !connection.is_write_blocked
 }
 
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -53,7 +53,7 @@
     connections_rejected,
     /// Requests that reached the driver.
     requests_received,
-    /// Requests answered with a 4xx status because they are malformed.
+    /// Requests that got a 4xx status because they are malformed.
     requests_malformed,
     /// Client connections, idle or with an incomplete request, that were closed to free slots for others.
     connections_evicted,
@@ -121,9 +121,9 @@
     tool_calls,
     /// Tool calls of which at least one byte was written to the tool server.
     tool_executions,
-    /// Tool calls answered from the replay buffer.
+    /// Tool calls whose outcome came from the replay buffer.
     tool_replays,
-    /// Tool calls that the JSON-RPC frontend itself answered with an error.
+    /// Tool calls that got an error from the JSON-RPC frontend itself.
     tool_errors,
     /// Panics that were caught.
     panics,
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -46,7 +46,7 @@
     lag: LagMonitor,
     /// A buffer that is reused for each event and is empty between events.
     actions: Vec<Action>,
-    /// Requests that got their final response through actions of the current event.
+    /// Requests that got their final response through actions on the current event.
     responded: Vec<RequestId>,
 }
 
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -26,7 +26,7 @@
     pub resources: Option<Rc<dyn Any>>,
 }
 
-/// The state of a client's connection. It is checked before anything is sent to a worker for the client.
+/// The state of a client's connection. It is checked before each write of an attempt.
 #[derive(Clone, Default)]
 pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
 
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -3,14 +3,14 @@
 //! A cache may be held only for a limited time while no attempt is in flight. An attempt on a stalled
 //! connection has not reached its worker and does not count as in flight, but the router cannot distinguish
 //! it from an attempt that waits in a decode worker's queue. The cache is therefore released at its hold
-//! limit even while an attempt awaits its response: workers keep a released cache for an attempt that has already
-//! arrived.
+//! limit even while an attempt awaits its response: workers keep a released cache for an attempt that has
+//! already arrived.
 
 use crate::interface::{Micros, Outcome, WorkerId};
 
-/// Extension of the hold limit while an attempt awaits its response, so that it can end or be
-/// replaced by another attempt. This is half of the tolerance that the protocol grants beyond the configured
-/// limit; the other half is for the release to arrive.
+/// Extension of the hold limit while an attempt awaits its response, so that the response can arrive or
+/// another attempt can replace this one. It is half of the tolerance that the protocol grants beyond the
+/// configured limit; the other half is for the release to arrive.
 const PENDING_RESPONSE_ALLOWANCE: Micros = 150_000;
 
 /// The state of a request's KV cache at a prefill worker, derived from the outcomes of attempts.
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -255,7 +255,7 @@
 #[case::silent(false, Duration::from_millis(2_200), CloseReason::Silent)]
 #[case::idle(true, Duration::from_secs(30), CloseReason::Idle)]
 fn silent_and_idle_connections_have_different_timeouts_and_close_reasons(
-    #[case] has_answered: bool,
+    #[case] has_responded: bool,
     #[case] timeout: Duration,
     #[case] reason: CloseReason,
 ) {
@@ -263,7 +263,7 @@
     let snapshot = ConnectionSnapshot {
         phase: ConnectionPhase::Idle(now),
         accepted_at: now,
-        has_answered,
+        has_responded,
         is_write_blocked: false,
         eviction: Eviction::None,
         is_closing_phase: false,
