--- a/src/frontend/jsonrpc/active_calls.rs
+++ b/src/frontend/jsonrpc/active_calls.rs
@@ -33,7 +33,6 @@
 }
 
 impl ActiveCalls {
-    /// Creates an empty table.
     pub fn new() -> Rc<Self> {
         Rc::new(ActiveCalls { by_name: RefCell::default(), next_number: Cell::new(1) })
     }
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -27,7 +27,6 @@
 }
 
 impl AnswerRelay {
-    /// Creates the relay of this call's answer.
     pub fn new(call: StreamingCall, replay_buffer: Rc<ReplayBuffer>) -> Self {
         AnswerRelay {
             disconnect_guard: call.disconnect_guard,
--- a/src/net/discovery/agent.rs
+++ b/src/net/discovery/agent.rs
@@ -66,12 +66,10 @@
         self.needs_snapshot.get()
     }
 
-    /// Records that the complete list was polled.
     pub fn record_snapshot(&self) {
         self.needs_snapshot.set(false);
     }
 
-    /// The number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures.get()
     }
--- a/src/net/server/read_gate.rs
+++ b/src/net/server/read_gate.rs
@@ -14,7 +14,6 @@
 }
 
 impl ReadGate {
-    /// Creates an open gate.
     pub fn new() -> Self {
         ReadGate { is_open: Cell::new(true), waker: RefCell::default() }
     }
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -12,9 +12,9 @@
 
 /// A request that has no final response yet, or has attempts in flight.
 ///
-/// The final response is sent through the [`Responder`], which is taken out for it: a request without a
-/// responder has its final response. Taking the responder cancels every attempt of which nothing has been
-/// written, even if the settings do not allow cancellation, so no attempt starts after the final response.
+/// The [`Responder`] is taken out to send the final response, so a request without a responder has its final
+/// response. Taking it cancels every attempt of which nothing has been written, even if the settings do not
+/// allow cancellation: no attempt starts after the final response.
 pub(super) struct ActiveRequest {
     number: RequestId,
     forwarded: Rc<ForwardedRequest>,
@@ -108,12 +108,10 @@
         &self.forwarded.id
     }
 
-    /// The request as it is forwarded to workers.
     pub fn forwarded(&self) -> Rc<ForwardedRequest> {
         self.forwarded.clone()
     }
 
-    /// Whether the request has its final response.
     pub fn has_final_response(&self) -> bool {
         self.responder.is_none()
     }
@@ -123,12 +121,11 @@
         self.has_final_response() && !self.has_attempt_in_flight()
     }
 
-    /// Whether any attempt is in flight.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::is_in_flight)
     }
 
-    /// Whether the request may be rejected, because a retry by the client is harmless.
+    /// Whether the request may be rejected: a rejection invites the client to retry, which must be harmless.
     pub fn is_rejection_harmless(&self) -> bool {
         is_rejection_harmless(self.idempotency, self.may_have_run())
     }
@@ -169,9 +166,10 @@
         Some(responder)
     }
 
-    /// Records a new attempt and returns it for the upstream client. The attempt waits for a release in
-    /// progress: one that reaches the worker after the attempt would remove the KV cache that the attempt
-    /// leaves.
+    /// Records a new attempt and returns it for the upstream client.
+    ///
+    /// The attempt waits for a release in progress, since a release that reaches the worker after the attempt
+    /// would remove the KV cache that the attempt leaves.
     pub fn start_attempt(&mut self, spec: AttemptSpec, now: Micros) -> Attempt {
         let AttemptSpec { worker, stage, timeout, deduplication_deadline } = spec;
         let deadline =
@@ -270,12 +268,10 @@
         self.attempts.iter_mut().filter(|attempt| attempt.is_streaming).for_each(AttemptRecord::cancel);
     }
 
-    /// Cancels all attempts.
     pub fn cancel_all(&mut self) {
         self.attempts.iter_mut().for_each(AttemptRecord::cancel);
     }
 
-    /// The KV cache that is held for the request.
     pub fn held_cache(&mut self) -> &mut HeldCache {
         &mut self.held_cache
     }
--- a/src/runtime/driver/limits.rs
+++ b/src/runtime/driver/limits.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sends the final response of a request, if it has none yet, and notifies the policy that the request
-    /// needs no response any more.
+    /// needs no response any more. [`Event::ClientDisconnected`] says so for a passed deadline too.
     pub(super) fn end_request(&mut self, request: RequestId, reason: DriverEndReason) {
         self.respond_without_policy(request, reason);
         self.notify_policy(Event::ClientDisconnected { request });
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -20,9 +20,9 @@
     pub body: Bytes,
     /// The connection of the client.
     pub client: ClientConnection,
-    /// Resources that the request occupies, such as its id and its share of memory. They are freed when the
-    /// last reference is dropped. This may be after the final response, at the end of the last attempt or
-    /// cache release of the request.
+    /// Resources that the request occupies, such as its id and its share of memory. They are freed with the
+    /// last reference, which may be after the final response: at the end of the request's last attempt or
+    /// cache release.
     pub resources: Option<Rc<dyn Any>>,
 }
 
--- a/src/runtime/held_cache.rs
+++ b/src/runtime/held_cache.rs
@@ -27,12 +27,10 @@
 }
 
 impl HeldCache {
-    /// Records the start of an attempt.
     pub fn attempt_sent(&mut self) {
         self.awaits_response = true;
     }
 
-    /// Records the end of an attempt at a worker.
     pub fn attempt_ended(&mut self, worker: &WorkerId, outcome: Outcome, now: Micros) {
         self.awaits_response = false;
         match outcome {
--- a/src/runtime/input_queue.rs
+++ b/src/runtime/input_queue.rs
@@ -16,12 +16,11 @@
 }
 
 impl InputQueue {
-    /// Creates a queue of the inputs from a channel.
     pub fn new(receiver: UnboundedReceiver<DriverInput>) -> Self {
         InputQueue { receiver, events: VecDeque::new(), requests: VecDeque::new() }
     }
 
-    /// Returns the next pending input, if there is one.
+    /// Takes the next pending input without waiting.
     pub fn try_recv(&mut self) -> Option<DriverInput> {
         while let Ok(input) = self.receiver.try_recv() {
             self.enqueue(input);
--- a/src/runtime/lag.rs
+++ b/src/runtime/lag.rs
@@ -6,14 +6,13 @@
 
 use crate::interface::Micros;
 
-/// A timer that fires with a delay above this is late.
-///
-/// Several turns of the event loop pass between two steps of a request, and all of them have to fit into the
-/// time for which a KV cache may be held, which is at least half a second.
+/// A timer that fires with a delay above this is late. Several turns of the event loop pass between two
+/// steps of a request, and all of them have to fit into the time for which a KV cache may be held, which is
+/// at least half a second.
 pub(super) const LATE_TIMER_THRESHOLD: Micros = 50_000;
 
-/// The thread is overloaded when all timers have been late for longer than this. The operating system may
-/// suspend a process once for as long without a shortage of CPU time.
+/// The thread is overloaded when all timers have been late for longer than this. A single suspension of the
+/// process by the operating system may last as long without any shortage of CPU time.
 const MIN_OVERLOAD_PERIOD: Micros = 150_000;
 
 /// A late timer is disregarded after this time without another one.
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -10,7 +10,7 @@
 pub struct Attempt {
     /// The number of the request.
     pub request: RequestId,
-    /// Whether the request still awaits its final response; if not, the attempt must not start.
+    /// Open while the request awaits its final response. Once it is closed, the attempt must not start.
     pub request_state: RequestState,
     /// The attempt's index.
     pub index: AttemptIndex,
@@ -18,15 +18,15 @@
     pub worker: WorkerId,
     /// The stage that the worker executes. Only the response of a decode is a stream.
     pub stage: Stage,
-    /// The request as it is sent to the worker.
+    /// The request to send to the worker.
     pub forwarded: Rc<ForwardedRequest>,
     /// When the attempt times out unless the first event of the response has been received.
     pub deadline: Micros,
     /// No byte of the attempt may be written from this time on, so that it arrives inside the deduplication
     /// window of the earlier attempts; `None`: no limit.
     pub deduplication_deadline: Option<Micros>,
-    /// A release to wait for: one that reaches the worker after this attempt would remove the KV cache that
-    /// the attempt leaves.
+    /// A release to wait for: a release that reaches the worker after this attempt would remove the KV cache
+    /// that the attempt leaves.
     pub pending_release: Option<Rc<ReleaseProgress>>,
     /// Resolves when the attempt is cancelled, with a value or because the sender was dropped.
     pub cancelled: oneshot::Receiver<()>,
@@ -55,7 +55,7 @@
         self.holder.as_ref()
     }
 
-    /// Cancels the release: from now on it might remove the KV cache of a later attempt.
+    /// Cancels the release, because from now on it might remove the KV cache of a later attempt.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.changed.notify_waiters();
--- a/src/runtime/request_table.rs
+++ b/src/runtime/request_table.rs
@@ -12,22 +12,18 @@
 }
 
 impl RequestTable {
-    /// Adds a new request.
     pub fn insert(&mut self, number: RequestId, request: ActiveRequest) {
         self.requests.insert(number, request);
     }
 
-    /// Returns a request, if it is active.
     pub fn get(&self, number: RequestId) -> Option<&ActiveRequest> {
         self.requests.get(&number)
     }
 
-    /// Returns a mutable reference to a request, if it is active.
     pub fn get_mut(&mut self, number: RequestId) -> Option<&mut ActiveRequest> {
         self.requests.get_mut(&number)
     }
 
-    /// Whether a request is active.
     pub fn contains(&self, number: RequestId) -> bool {
         self.requests.contains_key(&number)
     }
@@ -40,7 +36,6 @@
         self.requests.remove(&number)
     }
 
-    /// The number of active requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
--- a/src/runtime/timers.rs
+++ b/src/runtime/timers.rs
@@ -29,12 +29,10 @@
 }
 
 impl TimerQueue {
-    /// Adds an entry.
     pub fn push(&mut self, at: Micros, entry: TimerEntry) {
         self.entries.push(Reverse((at, entry)));
     }
 
-    /// The due time of the earliest entry.
     pub fn next_due(&self) -> Option<Micros> {
         self.entries.peek().map(|Reverse((at, _))| *at)
     }
@@ -62,7 +60,6 @@
         });
     }
 
-    /// The number of entries.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.entries.len()
