--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -17,17 +17,17 @@
 const MIN_SOCKETS: u64 = 256;
 /// The single zone, since an HAProxy configuration has no zones.
 const ZONE: &str = "here";
-/// Client timeout where no server timeout is set.
+/// The client timeout where HAProxy's configuration sets no `timeout server`.
 const DEFAULT_CLIENT_TIMEOUT: Micros = 30_000_000;
-/// Minimum client timeout, regardless of the server timeout.
+/// The minimum client timeout, however short `timeout server` is.
 const MIN_CLIENT_TIMEOUT: Micros = 1_000_000;
 /// Divisor of the client timeout that gives the latency objective.
 const OBJECTIVE_DIVISOR: Micros = 4;
-/// The default of HAProxy.
+/// HAProxy's default for `retries`.
 const DEFAULT_RETRIES: u64 = 3;
-/// Connect timeout where none is set.
+/// The connect timeout where HAProxy's configuration sets no `timeout connect`.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// Timeout of idle connections where no keep-alive timeout is set.
+/// The idle connection timeout where HAProxy's configuration sets no `timeout http-keep-alive`.
 const DEFAULT_IDLE_TIMEOUT: Micros = 30_000_000;
 
 /// Serializes the operator's file.
--- a/src/net/discovery/withdrawn.rs
+++ b/src/net/discovery/withdrawn.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Micros, WorkerId};
 use std::collections::{BTreeMap, HashMap};
 
-/// Minimum capacity of the record, used while fewer workers than this are listed.
+/// The minimum capacity of the record, in workers, used while fewer workers than this are listed.
 const MIN_CAPACITY: usize = 512;
 
 /// A worker process that was withdrawn.
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -25,7 +25,7 @@
 const ACCEPT_FAILED_PAUSE: Duration = Duration::from_millis(5);
 /// The number of consecutive accept failures after which the accept loop pauses.
 const MAX_FAILURES_WITHOUT_PAUSE: u32 = 16;
-/// The number of consecutive accept failures after which draining the listen backlog is abandoned.
+/// The number of consecutive accept failures after which the draining of the listen backlog is abandoned.
 const MAX_CONSECUTIVE_FAILURES: u32 = 1_600;
 
 /// The number of accepts that have failed in a row.
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -13,7 +13,8 @@
 /// The minimum idle time before graceful eviction. It leaves a client that has just connected time to send
 /// its request.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// The minimum time since the first byte of an incomplete request before graceful eviction.
+/// The minimum time since the first byte of an incomplete request before its connection is evicted
+/// gracefully.
 const MIN_RECEIVE_BEFORE_EVICTION: Duration = Duration::from_millis(400);
 
 /// The registry of open client connections.
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -19,7 +19,7 @@
 pub use super::connection::{ConnectError, Connection};
 pub use super::write_progress::WriteProgress;
 
-/// The limit on idle connections to each worker: enough for a burst of requests. More would only occupy
+/// The limit on idle connections to each worker. It is enough for a burst of requests; more would only occupy
 /// sockets.
 const MAX_IDLE_PER_WORKER: usize = 32;
 /// The minimum time between a response and the reuse of its connection. Surplus bytes that a worker writes
@@ -105,7 +105,8 @@
         self.shared.counters.stale_connections.increment();
         if !self.is_reuse_suspended() {
             log::warn!(
-                "reused connection was stale; closing idle connections and reusing none for {} s",
+                "connection pool: a reused connection had probably been closed by its peer; \
+                 closing all idle connections and reusing none for {} s",
                 REUSE_SUSPENSION.as_secs()
             );
         }
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -26,8 +26,8 @@
     AtMostOnce,
     /// A request is rejected only if a retry is harmless.
     RejectionSafeToRetry,
-    /// Each request has its final response at most [`response_grace`](crate::interface::Settings::response_grace)
-    /// after its deadline.
+    /// Each request has its final response at most
+    /// [`response_grace`](crate::interface::Settings::response_grace) after its deadline.
     FinalResponse,
     /// No KV cache is held for a request that has ended.
     CacheReleased,
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithholdReason {
     /// The request has its final response.
-    Answered,
+    HasFinalResponse,
     /// The client has disconnected.
     ClientDisconnected,
     /// The attempt has timed out.
@@ -80,7 +80,7 @@
     /// The outcome of a withheld attempt of which no byte was written.
     pub fn outcome(self) -> Outcome {
         match self {
-            WithholdReason::Answered | WithholdReason::ClientDisconnected => Outcome::Cancelled,
+            WithholdReason::HasFinalResponse | WithholdReason::ClientDisconnected => Outcome::Cancelled,
             // The time before the first byte is mostly spent on connecting, so this counts as a failure of
             // the worker, like a connection that is not established in time.
             WithholdReason::TimedOut => Outcome::ConnectFailed,
@@ -92,7 +92,7 @@
 impl fmt::Display for WithholdReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            WithholdReason::Answered => "the request has its final response",
+            WithholdReason::HasFinalResponse => "the request has its final response",
             WithholdReason::ClientDisconnected => "the client has disconnected",
             WithholdReason::TimedOut => "the attempt has timed out",
             WithholdReason::DeduplicationWindowExpired => "the deduplication window has expired",
@@ -107,7 +107,7 @@
 /// The reason for withholding the attempt.
 pub fn check_write(attempt: &AttemptSnapshot) -> Result<(), WithholdReason> {
     if !attempt.is_request_open {
-        return Err(WithholdReason::Answered);
+        return Err(WithholdReason::HasFinalResponse);
     }
     if attempt.client_disconnected {
         return Err(WithholdReason::ClientDisconnected);
