--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -44,7 +44,7 @@
         let target = self.client.target(&self.attempt.worker).ok_or(Outcome::NotSent)?;
         self.wait_for_release().await?;
         let mut connection = self.connect(&target).await?;
-        let (result, disposition) = match self.exchange(&mut connection).await? {
+        let (result, disposition) = match self.send_and_read(&mut connection).await? {
             UpstreamResponse::Complete { result, disposition } => (result, disposition),
             UpstreamResponse::Stream(stream) => {
                 let completed = relay_stream(&self.client, &mut self.attempt, stream).await?;
@@ -104,7 +104,7 @@
     }
 
     /// Sends the request and reads the response: up to the first event of a stream, completely otherwise.
-    async fn exchange(&mut self, connection: &mut Connection) -> Result<UpstreamResponse, Outcome> {
+    async fn send_and_read(&mut self, connection: &mut Connection) -> Result<UpstreamResponse, Outcome> {
         let remaining = self.attempt.deadline.saturating_sub(self.client.driver.clock.now());
         let forwarded = &self.attempt.forwarded;
         let request = forward_request(forwarded, remaining).map_err(|_| Outcome::NotSent)?;
@@ -114,15 +114,15 @@
         // A request whose last byte was not written has not run, whatever ended the attempt.
         let effective_outcome =
             |outcome: Outcome| if progress.is_complete() { outcome } else { Outcome::ConnectFailed };
-        let exchange = async {
+        let response = async {
             let response = connection.send_guarded(request, body_length, guard).await?;
             let sent = SentRequest { stage, is_fully_written: progress.is_complete() };
             UpstreamResponse::read(response, sent).await
         };
-        let exchanged = tokio::select! {
-            // A response takes precedence over a cancellation or time-out that is ready in the same poll.
+        let result = tokio::select! {
+            // A response takes precedence over a cancellation or timeout that is ready in the same poll.
             biased;
-            exchanged = exchange => exchanged,
+            result = response => result,
             _ = &mut self.attempt.cancelled => return Err(effective_outcome(Outcome::Cancelled)),
             () = &mut self.deadline => {
                 let (request, worker) = (&self.attempt.forwarded.id, &self.attempt.worker.0);
@@ -130,7 +130,7 @@
                 return Err(effective_outcome(Outcome::TimedOut));
             }
         };
-        exchanged.map_err(|error| match progress.withheld_outcome() {
+        result.map_err(|error| match progress.withheld_outcome() {
             Some(outcome) => {
                 self.client.counters.attempts_withheld.increment();
                 outcome
@@ -139,10 +139,11 @@
         })
     }
 
-    /// Logs a failed exchange and reports it to the pool. Returns the attempt's outcome.
+    /// Logs why there is no usable response, and reports the failed connection to the pool. Returns the
+    /// attempt's outcome.
     fn record_failure(&self, connection: &Connection, error: &ResponseError) -> Outcome {
         let (request, worker) = (&self.attempt.forwarded.id, &self.attempt.worker.0);
-        log::info!("request {request}: exchange with {worker} failed: {error}");
+        log::info!("request {request}: attempt at {worker} failed: {error}");
         self.client.pool.record_failure(connection);
         Outcome::ConnectionLost
     }
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -69,7 +69,7 @@
     },
     /// The connection failed before the complete response head arrived.
     #[error("call to {}: no response: {source}", worker.0)]
-    Exchange {
+    NoResponse {
         /// The called worker.
         worker: WorkerId,
         /// hyper's error.
@@ -114,7 +114,7 @@
         };
         let response = match connection.send(request, body_length).await {
             Ok(response) => response,
-            Err(source) => return Err(CallError::Exchange { worker, source }),
+            Err(source) => return Err(CallError::NoResponse { worker, source }),
         };
         let (head, body) = response.into_parts();
         let body = match read_body(body).await {
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -28,7 +28,7 @@
 pub(super) enum ResponseError {
     /// The connection failed, or the response head is invalid.
     #[error("no response: {0}")]
-    Exchange(#[from] hyper::Error),
+    NoResponse(#[from] hyper::Error),
     /// The stream is corrupted before its first event.
     #[error("invalid first event: {0}")]
     FirstEvent(#[from] EventStreamError),
