--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Describes a request for the policy. Its deadline counts from when its first byte waited on the
-    /// client's connection.
+    /// Describes a request for the policy. Its deadline counts from when it was detected behind an earlier
+    /// request on the client's connection, or from now if it did not wait.
     fn request_spec(
         &self,
         params: CompletionParams,
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -13,7 +13,7 @@
 /// Idle timeout of a watch. The agent writes a line, possibly an empty one, at least every 2 s.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Limit on the time from the first byte of a message to its last, and from a malformed message to the next
-/// valid one. After that the change in it counts as lost, and a new watch has to request it again.
+/// valid one. After that the message counts as lost, and a new watch has to request its change again.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// The times that determine when a watch is considered dead.
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -159,7 +159,7 @@
         let mut idle = self.shared.idle.borrow_mut();
         let connections = idle.get_mut(&target.worker)?;
         let reuse_delay = self.shared.limits.reuse_delay;
-        // The longest idle connections come first, so those past the reuse delay form a prefix.
+        // The longest idle connections come first, so those past the reuse delay are at the start.
         let eligible = connections.iter().take_while(|idle| idle.since.elapsed() >= reuse_delay).count();
         for index in (0..eligible).rev() {
             let candidate = connections.remove(index);
--- a/src/net/upstream/stream.rs
+++ b/src/net/upstream/stream.rs
@@ -76,8 +76,8 @@
     is_self_delimited: bool,
     sender: ResponseStreamSender,
     tail: StreamTail,
-    /// The start of the current [`EVENT_TIMEOUT`]: the last event from the worker or reply to it, moved on by
-    /// the time in which the relay waited for a slow client.
+    /// When the current [`EVENT_TIMEOUT`] began: at the last event from the worker or reply to it. Time in
+    /// which the relay waited for a slow client, or the worker for a reply, does not count and moves it on.
     last_activity: Instant,
 }
 
--- a/src/net/upstream/write_progress.rs
+++ b/src/net/upstream/write_progress.rs
@@ -24,7 +24,7 @@
 /// The write progress of a connection's current request, and the guard of its further writes.
 #[derive(Default)]
 pub struct WriteProgress {
-    /// The number of bytes of the head's terminator that the bytes written last match;
+    /// How many bytes of the head's terminator the end of the written bytes matches;
     /// [`HEAD_TERMINATOR_LENGTH`] once the head is complete.
     terminator_matched: Cell<u8>,
     /// The number of body bytes still to be written.
