--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -27,7 +27,6 @@
 }
 
 impl AnswerRelay {
-    /// Creates the relay of this call's answer.
     pub fn new(call: StreamingCall, replay_buffer: Rc<ReplayBuffer>) -> Self {
         AnswerRelay {
             disconnect_guard: call.disconnect_guard,
@@ -45,8 +44,8 @@
         self.context.active_call.name().clone()
     }
 
-    /// Relays the answer with its tool calls, and returns the final JSON-RPC response. The request's name is
-    /// free once this returns.
+    /// Relays the answer with its tool calls, and returns the JSON-RPC response that ends it. The request's
+    /// name is free once this returns.
     ///
     /// # Errors
     /// The answer is incomplete.
@@ -67,7 +66,7 @@
     async fn relay_stream(&mut self, output: &mut AnswerOutput) -> Result<(), RelayError> {
         loop {
             // Biased: a stream that always has a frame ready must not starve interruptions and disconnects.
-            // Each branch is cancel-safe.
+            // Each branch is cancel safe.
             let frame = tokio::select! {
                 biased;
                 interruption = self.context.active_call.interrupted() => return Err(interruption.into()),
@@ -101,7 +100,7 @@
         Ok(())
     }
 
-    /// Sends the text of a chunk, and records its finish reason and token counts for the final response.
+    /// Sends the text of a chunk, and records its finish reason and token counts for the JSON-RPC response.
     async fn relay_chunk(&mut self, chunk: AnswerChunk, output: &mut AnswerOutput) -> Result<(), RelayError> {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
@@ -136,7 +135,7 @@
         relay.run(&self.replay_buffer).await
     }
 
-    /// Builds the final response, after a complete answer.
+    /// Builds the JSON-RPC response after a complete answer.
     fn response(&self, output: &AnswerOutput) -> Vec<u8> {
         let result = AnswerResult {
             request: self.context.active_call.name(),
--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -17,17 +17,17 @@
 const MIN_SOCKETS: u64 = 256;
 /// The single zone, since an HAProxy configuration has no zones.
 const ZONE: &str = "here";
-/// Client timeout where no server timeout is set.
+/// The client timeout where HAProxy's configuration sets no `timeout server`.
 const DEFAULT_CLIENT_TIMEOUT: Micros = 30_000_000;
-/// Minimum client timeout, regardless of the server timeout.
+/// The minimum client timeout, however short `timeout server` is.
 const MIN_CLIENT_TIMEOUT: Micros = 1_000_000;
 /// Divisor of the client timeout that gives the latency objective.
 const OBJECTIVE_DIVISOR: Micros = 4;
-/// The default of HAProxy.
+/// HAProxy's default for `retries`.
 const DEFAULT_RETRIES: u64 = 3;
-/// Connect timeout where none is set.
+/// The connect timeout where HAProxy's configuration sets no `timeout connect`.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// Timeout of idle connections where no keep-alive timeout is set.
+/// The idle connection timeout where HAProxy's configuration sets no `timeout http-keep-alive`.
 const DEFAULT_IDLE_TIMEOUT: Micros = 30_000_000;
 
 /// Serializes the operator's file.
@@ -223,7 +223,7 @@
 #[derive(Serialize)]
 struct Rules {
     #[serde(rename = "answer_slack_us")]
-    answer_grace: Micros,
+    response_grace: Micros,
     #[serde(rename = "cold_from")]
     slow_start_floor: f64,
     #[serde(rename = "cold_us")]
@@ -239,7 +239,7 @@
 impl Rules {
     /// Disables slow start, since an HAProxy configuration does not describe how workers warm up.
     const WITHOUT_SLOW_START: Rules = Rules {
-        answer_grace: 16_000,
+        response_grace: 16_000,
         slow_start_floor: 1.0,
         slow_start_duration: 0,
         drain_grace: 1_000_000,
--- a/src/net/discovery/agent.rs
+++ b/src/net/discovery/agent.rs
@@ -1,4 +1,4 @@
-//! State of the exchange with the discovery agent.
+//! The state of polling and watching the discovery agent.
 
 use super::update::EndpointUpdate;
 use std::cell::Cell;
@@ -23,7 +23,7 @@
     },
 }
 
-/// State of the exchange with the current agent, reset when the agent's address changes.
+/// The state of polling and watching the current agent, reset when the agent's address changes.
 ///
 /// The fields are cells since a watch and a concurrent poll in the same task both update them.
 #[derive(Default)]
@@ -66,12 +66,10 @@
         self.needs_snapshot.get()
     }
 
-    /// Records that the complete list was polled.
     pub fn record_snapshot(&self) {
         self.needs_snapshot.set(false);
     }
 
-    /// The number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures.get()
     }
--- a/src/net/server/connections.rs
+++ b/src/net/server/connections.rs
@@ -13,7 +13,8 @@
 /// The minimum idle time before graceful eviction. It leaves a client that has just connected time to send
 /// its request.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// The minimum time since the first byte of an incomplete request before graceful eviction.
+/// The minimum time since the first byte of an incomplete request before its connection is evicted
+/// gracefully.
 const MIN_RECEIVE_BEFORE_EVICTION: Duration = Duration::from_millis(400);
 
 /// The registry of open client connections.
@@ -27,7 +28,7 @@
 /// The result of an attempt to evict a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionResult {
-    /// A connection was evicted. If it receives a request before it closes, it answers that first.
+    /// A connection was evicted. If it receives a request before it closes, it responds first.
     Requested,
     /// No connection may be evicted.
     NoCandidate,
@@ -53,7 +54,7 @@
         self.open.borrow().len()
     }
 
-    /// Resolves when a connection has ended and released its slot. Cancel-safe; supports a single waiter.
+    /// Resolves when a connection has ended and released its slot. Cancel safe; supports a single waiter.
     pub async fn slot_released(&self) {
         self.slot_released.notified().await;
     }
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -19,7 +19,7 @@
 pub use super::connection::{ConnectError, Connection};
 pub use super::write_progress::WriteProgress;
 
-/// The limit on idle connections to each worker: enough for a burst of requests. More would only occupy
+/// The limit on idle connections to each worker. It is enough for a burst of requests; more would only occupy
 /// sockets.
 const MAX_IDLE_PER_WORKER: usize = 32;
 /// The minimum time between a response and the reuse of its connection. Surplus bytes that a worker writes
@@ -105,7 +105,8 @@
         self.shared.counters.stale_connections.increment();
         if !self.is_reuse_suspended() {
             log::warn!(
-                "reused connection was stale; closing idle connections and reusing none for {} s",
+                "connection pool: a reused connection had probably been closed by its peer; \
+                 closing all idle connections and reusing none for {} s",
                 REUSE_SUSPENSION.as_secs()
             );
         }
@@ -158,7 +159,7 @@
         let mut idle = self.shared.idle.borrow_mut();
         let connections = idle.get_mut(&target.worker)?;
         let reuse_delay = self.shared.limits.reuse_delay;
-        // The longest idle connections come first, so those past the reuse delay form a prefix.
+        // The longest idle connections come first, so those past the reuse delay are at the start.
         let eligible = connections.iter().take_while(|idle| idle.since.elapsed() >= reuse_delay).count();
         for index in (0..eligible).rev() {
             let candidate = connections.remove(index);
@@ -170,7 +171,7 @@
     }
 
     /// Whether an idle connection may carry a request to `target`. The idle timeout applies because workers
-    /// close connections after a longer idle time, and a request written to a closed one is answered by a
+    /// close connections after a longer idle time, and a request written to a closed one results in a
     /// reset.
     fn is_reusable(&self, idle: &IdleConnection, target: &Target) -> bool {
         idle.address == target.address
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -53,7 +53,7 @@
     connections_rejected,
     /// Requests that reached the driver.
     requests_received,
-    /// Requests answered with a 4xx status because they are malformed.
+    /// Requests that got a 4xx status because they are malformed.
     requests_malformed,
     /// Client connections, idle or with an incomplete request, that were closed to free slots for others.
     connections_evicted,
@@ -103,7 +103,7 @@
     streams_broken,
     /// Releases of held KV caches, forced ones included.
     cache_releases,
-    /// Releases of KV caches at their hold limit, with or without an unanswered attempt.
+    /// Releases of KV caches at their hold limit, including those while an attempt awaits its response.
     cache_releases_forced,
     /// Releases that no worker acknowledged.
     cache_releases_failed,
@@ -121,9 +121,9 @@
     tool_calls,
     /// Tool calls of which at least one byte was written to the tool server.
     tool_executions,
-    /// Tool calls answered from the replay buffer.
+    /// Tool calls whose outcome came from the replay buffer.
     tool_replays,
-    /// Tool calls that the JSON-RPC frontend itself answered with an error.
+    /// Tool calls that got an error from the JSON-RPC frontend itself.
     tool_errors,
     /// Panics that were caught.
     panics,
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -20,25 +20,25 @@
     pub body: Bytes,
     /// The connection of the client.
     pub client: ClientConnection,
-    /// Resources that the request occupies, such as its id and its share of memory. They are freed when the
-    /// last reference is dropped. This may be after the final response, at the end of the last attempt or
-    /// cache release of the request.
+    /// Resources that the request occupies, such as its id and its share of memory. They are freed with the
+    /// last reference, which may be after the final response: at the end of the request's last attempt or
+    /// cache release.
     pub resources: Option<Rc<dyn Any>>,
 }
 
-/// The state of a client's connection. It is checked before anything is sent to a worker for the client.
+/// The state of a client's connection. It is checked before each write of an attempt.
 #[derive(Clone, Default)]
 pub struct ClientConnection(Option<Rc<dyn Fn() -> bool>>);
 
 impl ClientConnection {
-    /// A connection whose state `is_closed` returns.
-    pub fn new(is_closed: Rc<dyn Fn() -> bool>) -> Self {
-        ClientConnection(Some(is_closed))
+    /// A connection whose state `has_disconnected` returns.
+    pub fn new(has_disconnected: Rc<dyn Fn() -> bool>) -> Self {
+        ClientConnection(Some(has_disconnected))
     }
 
-    /// Whether the client has closed the connection.
-    pub fn is_closed(&self) -> bool {
-        self.0.as_ref().is_some_and(|is_closed| is_closed())
+    /// Whether the client has disconnected.
+    pub fn has_disconnected(&self) -> bool {
+        self.0.as_ref().is_some_and(|has_disconnected| has_disconnected())
     }
 }
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -140,11 +140,11 @@
         let mut client = into_blocking(server.connect().await);
         client.write_all(request("id-1", "send", "hello").as_bytes()).unwrap();
         let submitted = server.next_request().await;
-        assert!(!submitted.forwarded.client.is_closed());
+        assert!(!submitted.forwarded.client.has_disconnected());
         // There is no await between the close and the check, so the runtime does not run.
         client.write_all(sent_before_close.as_bytes()).unwrap();
         drop(client);
-        assert!(submitted.forwarded.client.is_closed(), "the close was not detected");
+        assert!(submitted.forwarded.client.has_disconnected(), "the close was not detected");
         assert_eq!(server.next_disconnected().await, submitted.spec.request);
     })
     .await;
@@ -260,7 +260,7 @@
 #[case::silent(false, Duration::from_millis(2_200), CloseReason::Silent)]
 #[case::idle(true, Duration::from_secs(30), CloseReason::Idle)]
 fn silent_and_idle_connections_have_different_timeouts_and_close_reasons(
-    #[case] has_answered: bool,
+    #[case] has_responded: bool,
     #[case] timeout: Duration,
     #[case] reason: CloseReason,
 ) {
@@ -268,7 +268,7 @@
     let snapshot = ConnectionSnapshot {
         phase: ConnectionPhase::Idle(now),
         accepted_at: now,
-        has_answered,
+        has_responded,
         is_write_blocked: false,
         eviction: Eviction::None,
         is_closing_phase: false,
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -39,9 +39,9 @@
 #[case::by_the_policy(60_000_000)]
 #[case::by_the_driver(0)]
 #[tokio::test(start_paused = true)]
-async fn the_final_response_cancels_an_attempt_that_was_not_written(#[case] answer_grace: Micros) {
+async fn the_final_response_cancels_an_attempt_that_was_not_written(#[case] response_grace: Micros) {
     let scenario = async {
-        let driver = DriverHarness::start(Settings { answer_grace, ..settings() }, 1_000_000).await;
+        let driver = DriverHarness::start(Settings { response_grace, ..settings() }, 1_000_000).await;
         assert_eq!(driver.cancellation(), TryRecvError::Empty);
         let state = driver.upstream.attempts.borrow()[0].request_state.clone();
         assert!(state.is_open());
@@ -58,10 +58,11 @@
 #[tokio::test(start_paused = true)]
 async fn many_requests_with_one_deadline_all_get_their_final_response_in_time() {
     const REQUESTS: usize = 500;
-    const ANSWER_GRACE: Micros = 16_000;
+    const RESPONSE_GRACE: Micros = 16_000;
     let scenario = async {
         let driver =
-            DriverHarness::start(Settings { answer_grace: ANSWER_GRACE, ..settings() }, 600_000_000).await;
+            DriverHarness::start(Settings { response_grace: RESPONSE_GRACE, ..settings() }, 600_000_000)
+                .await;
         let handle = driver.handle.clone();
         let deadline = handle.clock.now() + 2_000_000;
         let mut clients = Vec::new();
@@ -76,7 +77,7 @@
         for client in clients {
             let (is_rejected, at) = client.await.unwrap();
             // Tokio's timers have a resolution of one millisecond.
-            assert!(is_rejected && at <= deadline + ANSWER_GRACE + 1_000, "{} us late", at - deadline);
+            assert!(is_rejected && at <= deadline + RESPONSE_GRACE + 1_000, "{} us late", at - deadline);
         }
     };
     tokio::task::LocalSet::new().run_until(scenario).await;
