--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -5,21 +5,21 @@
 /// Why a request ends without a worker's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Too little time is left before its deadline to start an attempt.
+    /// Too little time is left before the request's deadline to start an attempt.
     DeadlineTooClose,
-    /// Its deadline passed with an attempt in flight.
+    /// The request's deadline passed with an attempt in flight.
     DeadlineExceeded,
     /// All attempts that the settings allow have been made.
     AttemptsExhausted,
-    /// It may have run, and no worker may be sent a retry.
+    /// The request may have run, and no worker may be sent a retry.
     NotRetryable,
-    /// Decode workers timed out on it, and its latency objective has passed.
+    /// Decode workers timed out on the request, and its latency objective has passed.
     DecodeUnresponsive,
-    /// By the estimated duration of its stages, the response cannot start before the client's deadline.
+    /// By the estimated duration of the stages, the response cannot start before the client's deadline.
     CannotStartInTime,
-    /// By the estimated duration of its stages, it can no longer meet its latency objective.
+    /// By the estimated duration of the stages, the request can no longer meet its latency objective.
     ObjectiveUnreachable,
-    /// Its tenant has used up its quota, and there is no capacity left.
+    /// The request's tenant has used up its quota, and there is no capacity left.
     OverQuota,
 }
 
@@ -28,9 +28,9 @@
 pub enum Action {
     /// Send an attempt of the request to a worker.
     Send {
-        /// The request.
+        /// The request that the attempt executes.
         request: RequestId,
-        /// The destination.
+        /// The worker that receives the attempt.
         worker: WorkerId,
         /// The stage that the worker executes.
         stage: Stage,
@@ -42,7 +42,7 @@
     },
     /// Reject the request: the client may safely retry.
     Reject {
-        /// The request.
+        /// The request that the client may retry.
         request: RequestId,
         /// How long the client should wait before it retries; `None`: unspecified.
         retry_after: Option<Micros>,
@@ -51,52 +51,52 @@
     },
     /// Fail the request: it may or may not have had an effect.
     Fail {
-        /// The request.
+        /// The request whose effect is unknown.
         request: RequestId,
         /// The cause, for the log.
         reason: EndReason,
     },
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The index of the attempt to cancel.
         attempt: AttemptIndex,
     },
     /// Reserve a slot at a decode worker while a prefill is in flight. Never issued by the current policy,
     /// which chooses the decode worker after the prefill.
     ReserveSlot {
-        /// The request.
+        /// The request whose response the slot is for.
         request: RequestId,
-        /// The decode worker.
+        /// The decode worker that is asked for the slot.
         worker: WorkerId,
     },
     /// Release all KV caches and slots that workers hold for the request.
     ReleaseCache {
-        /// The request.
+        /// The request for which the workers hold them.
         request: RequestId,
     },
     /// End a stream in progress so that the client resumes it at another worker. Never issued by the current
     /// policy.
     MigrateStream {
-        /// The request.
+        /// The request whose response is being streamed.
         request: RequestId,
     },
     /// Set a timer, which fires as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// The time at which it fires.
+        /// The time at which the timer fires.
         at: Micros,
-        /// The timer.
+        /// Identifies the timer in the event.
         timer: TimerId,
     },
     /// Check a worker's health.
     CheckHealth {
-        /// The worker.
+        /// The worker that receives the health check.
         worker: WorkerId,
     },
     /// Close idle connections to a worker. Never issued by the current policy.
     CloseIdleConnections {
-        /// The worker.
+        /// The worker at the other end of the connections.
         worker: WorkerId,
     },
     /// Send a gossip message to another router, or to all others.
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -56,24 +56,24 @@
 pub struct LoadReport {
     /// Requests in flight, held KV caches included.
     pub active_requests: Option<f64>,
-    /// Requests in its queue.
+    /// Requests in the worker's queue.
     pub queued_requests: Option<f64>,
-    /// Fraction of its KV cache in use.
+    /// Fraction of the worker's KV cache in use.
     pub kv_cache_utilization: Option<f64>,
-    /// Prompt tokens in its queue, to be processed or fetched.
+    /// Prompt tokens in the worker's queue, to be processed or fetched.
     pub queued_tokens: Option<f64>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The index of the attempt that ended.
     pub attempt: AttemptIndex,
-    /// Its outcome.
+    /// Whether the attempt succeeded, and if not, why.
     pub outcome: Outcome,
-    /// The time from sending to the end.
+    /// The time from the sending of the attempt to its end.
     pub elapsed: Micros,
     /// Whether the request has received its final response.
     pub request_finished: bool,
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -22,28 +22,28 @@
 /// An entry of the endpoint list: one worker.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The name of the worker.
+    /// The name of the worker, which identifies the entry.
     pub worker: WorkerId,
-    /// The availability zone that it runs in.
+    /// The availability zone that the worker runs in.
     pub zone: String,
-    /// The name of its kind, one of [`Settings::worker_kinds`](super::Settings::worker_kinds).
+    /// The name of the worker's kind, one of [`Settings::worker_kinds`](super::Settings::worker_kinds).
     pub kind: String,
-    /// Its cell: KV caches are transferred fastest between workers of the same cell.
+    /// The worker's cell: KV caches are transferred fastest between workers of the same cell.
     pub cell: u64,
-    /// Its lifecycle status.
+    /// Whether the worker accepts requests, drains or has left.
     pub status: WorkerStatus,
-    /// Its capacity relative to other workers of the same role.
+    /// The worker's capacity relative to other workers of the same role.
     pub weight: f64,
-    /// When its process last started; `None`: long ago, so that it needs no slow start.
+    /// When the worker's process last started; `None`: long ago, so that it needs no slow start.
     pub started_at: Option<Micros>,
 }
 
 /// The kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The changed endpoints only.
+    /// Only the endpoints that have changed.
     Delta,
-    /// The complete list.
+    /// The complete list: workers that it lacks have left.
     Snapshot,
     /// The complete list as last saved before this process started; it may be stale.
     Restored,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -10,20 +10,20 @@
 pub enum Event {
     /// An update of the endpoint list, or the failure to get one.
     EndpointsUpdated {
-        /// The kind of update.
+        /// Whether the endpoints are changes or the complete list, or whether the update failed.
         kind: UpdateKind,
-        /// The endpoints in the update.
+        /// The entries of the update.
         endpoints: Vec<Endpoint>,
     },
     /// A request was received from a client.
     RequestReceived(RequestSpec),
     /// A worker started to stream the response.
     StreamStarted {
-        /// The request.
+        /// The request that the stream responds to.
         request: RequestId,
-        /// The attempt.
+        /// The index of the attempt whose response is streamed.
         attempt: AttemptIndex,
-        /// The time since the attempt was sent.
+        /// The time from the sending of the attempt to the start of the stream.
         elapsed: Micros,
     },
     /// An attempt ended.
@@ -31,27 +31,27 @@
     /// A decode worker responded to the reservation of a slot. Ignored by the current policy, which never
     /// reserves slots.
     SlotReservationAnswered {
-        /// The request.
+        /// The request that the slot was to be reserved for.
         request: RequestId,
-        /// The decode worker.
+        /// The decode worker that responded.
         worker: WorkerId,
-        /// Whether the slot is reserved.
+        /// Whether the worker has reserved the slot.
         reserved: bool,
     },
     /// The client disconnected.
     ClientDisconnected {
-        /// The request.
+        /// The request that the client sent.
         request: RequestId,
     },
     /// A timer fired.
     Timer(TimerId),
     /// A health check ended.
     HealthChecked {
-        /// The worker.
+        /// The worker that was checked.
         worker: WorkerId,
         /// [`Outcome::Completed`] if the worker is healthy, else the kind of failure.
         outcome: Outcome,
-        /// The load reported by the worker.
+        /// The load that the worker reported in its response; `None` without a report.
         report: Option<LoadReport>,
     },
     /// A gossip message from another router.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -19,7 +19,7 @@
 pub struct WorkerKind {
     /// The name of the kind in endpoint lists.
     pub name: String,
-    /// The role of its workers.
+    /// The stages that workers of this kind execute.
     pub role: Role,
     /// The KV cache capacity of one worker, in tokens; `None` if unspecified.
     pub kv_cache_tokens: Option<u64>,
@@ -28,13 +28,13 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     #[default]
     Idempotent,
-    /// It carries an idempotency key: workers within the scope drop duplicates during the deduplication
+    /// The request carries an idempotency key: workers within the scope drop duplicates during the deduplication
     /// window.
     Keyed(DeduplicationScope),
-    /// It must not run more than once.
+    /// The request must not run more than once.
     NonIdempotent,
 }
 
@@ -42,7 +42,7 @@
 /// has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All workers.
+    /// All workers of the deployment.
     All,
     /// The workers of one zone.
     Zone,
@@ -50,12 +50,13 @@
     Cell,
 }
 
-/// A request class.
+/// A request class: what requests of one kind promise about repeated runs, and how fast and how urgently
+/// they are answered.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// The name of the class.
+    /// The name by which requests refer to the class.
     pub name: String,
-    /// Whether its requests may run more than once.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
     /// How long workers remember an idempotency key, from the first attempt that may have run.
     pub deduplication_window: Micros,
@@ -77,7 +78,7 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name of the tenant.
+    /// The name by which requests refer to the tenant.
     pub name: String,
     /// The tenant's quota over all routers, in requests per second.
     pub quota_per_s: f64,
@@ -106,7 +107,7 @@
     pub zone: String,
     /// The kinds of worker in the deployment.
     pub worker_kinds: Vec<WorkerKind>,
-    /// The request classes.
+    /// The classes that a request may belong to.
     pub classes: Vec<Class>,
     /// The tenants with a quota; may be empty.
     pub tenants: Vec<Tenant>,
