--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -37,7 +37,6 @@
 
 /// The first worker and stage of a queued request.
 pub(super) struct Route {
-    /// The worker.
     pub worker: WorkerId,
     /// The stage that the worker would run.
     pub stage: PlannedStage,
@@ -75,7 +74,7 @@
     }
 }
 
-/// An admission decision.
+/// What happens to a queued request now.
 pub(super) enum Admission {
     /// Send the request now.
     Start,
@@ -100,8 +99,8 @@
 
 /// Decides whether a queued request starts on its route now.
 ///
-/// It starts if both stages fit into the latency objective. Otherwise it stays queued, unless it can no
-/// longer meet its deadline or its objective, or its tenant is over quota: then it is rejected.
+/// The request starts if both stages fit into the latency objective. Otherwise it stays queued, unless it can
+/// no longer meet its deadline or its objective, or its tenant is over quota: then it is rejected.
 pub(super) fn decide(context: DecisionContext<'_>, request: &Request, route: &Route) -> Admission {
     let estimate = RouteEstimate::new(context, request, route);
     let cannot_start_in_time = estimate.cannot_start_in_time();
--- a/src/policy/attempt_plan.rs
+++ b/src/policy/attempt_plan.rs
@@ -18,12 +18,11 @@
 
 /// An attempt that may be sent.
 pub(super) struct AttemptPlan {
-    /// The attempt.
     pub attempt: TrackedAttempt,
-    /// Its timeout; `None`: only the client's deadline limits it.
+    /// The attempt's timeout; `None`: only the client's deadline limits it.
     pub timeout: Option<Micros>,
-    /// No byte of it may be written from this time on, so that it arrives within its deduplication window;
-    /// `None`: no limit.
+    /// No byte of the attempt may be written from this time on, so that it arrives inside the deduplication
+    /// window of the earlier attempts; `None`: no limit.
     pub deduplication_deadline: Option<Micros>,
 }
 
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -17,15 +17,13 @@
 /// References to all state that a decision depends on, at one moment. Decisions do not modify it.
 #[derive(Clone, Copy)]
 pub(super) struct DecisionContext<'a> {
-    /// The settings of the deployment.
     pub settings: &'a Settings,
     /// The seed of this router's hashes.
     pub seed: u64,
-    /// The present time.
     pub now: Micros,
-    /// The workers.
+    /// All listed workers, and removed workers that still have attempts in flight.
     pub membership: &'a Membership,
-    /// The open requests.
+    /// All open requests, and closed requests that still have attempts in flight.
     pub requests: &'a Requests,
     /// The prefixes that are presumed to be cached at each worker.
     pub prefixes: &'a PrefixTable,
--- a/src/policy/decode_choice.rs
+++ b/src/policy/decode_choice.rs
@@ -160,11 +160,11 @@
     /// The factor that reduces the local fraction while workers in the cell time out more often than others;
     /// 1 if they do not.
     ///
-    /// It covers congestion that no load report shows, and is counterproductive if the whole fleet is
+    /// The factor covers congestion that no load report shows, and is counterproductive if the whole fleet is
     /// congested. It is never 0, so that the recovery of local workers is noticed.
     ///
-    /// It stays 1 if remote first tokens take longer than the distance explains: the links are slow then, and
-    /// remote decoding would be worse.
+    /// The factor stays 1 if remote first tokens take longer than the distance explains: the links are slow
+    /// then, and remote decoding would be worse.
     fn local_timeout_factor(&self) -> f64 {
         let now = self.context.now;
         let timeouts = self.context.decode_timeouts;
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -16,23 +16,20 @@
 pub(super) struct EndedAttempt {
     /// The attempt as it was in flight, without its outcome.
     pub attempt: TrackedAttempt,
-    /// Its outcome.
     pub outcome: Outcome,
-    /// Its duration, as measured by the caller of the policy.
+    /// The time from the sending of the attempt to its end, as measured by the caller of the policy.
     pub elapsed: Micros,
     /// Prompt tokens that the worker did not find cached.
     pub uncached_tokens: f64,
-    /// The class and tenant of its request.
+    /// The class and tenant of the attempt's request.
     pub traffic: TrafficKey,
 }
 
 /// The state that is updated from outcomes, borrowed for one event.
 pub(super) struct Feedback<'a> {
-    /// The present time.
     pub now: Micros,
-    /// The settings of the deployment.
     pub settings: &'a Settings,
-    /// The workers.
+    /// All listed workers, and removed workers that still have attempts in flight.
     pub membership: &'a mut Membership,
     /// Learned latencies and prompt sizes.
     pub latency: &'a mut LatencyModel,
--- a/src/policy/lifecycle.rs
+++ b/src/policy/lifecycle.rs
@@ -209,7 +209,8 @@
         self.record_load_report(&attempt.worker, end.report);
         if attempt.stage == Stage::Prefill {
             self.gossip_queue_change(&attempt.worker, -attempt.added_tokens, out);
-            // It may have completed just as it timed out or lost its connection, and left a KV cache.
+            // The prefill may have completed just as it timed out or lost its connection, and left a KV
+            // cache.
             if !outcome.had_no_effect() {
                 out.push(Action::ReleaseCache { request: id });
             }
--- a/src/policy/load_view.rs
+++ b/src/policy/load_view.rs
@@ -9,9 +9,7 @@
 /// A load report with the time of its receipt.
 #[derive(Clone, Copy)]
 pub(super) struct ReceivedReport {
-    /// Time of receipt.
     pub received_at: Micros,
-    /// The report.
     pub report: LoadReport,
 }
 
--- a/src/policy/membership.rs
+++ b/src/policy/membership.rs
@@ -67,7 +67,7 @@
     topology: Topology,
     /// Workers that are no longer listed.
     gone: BTreeSet<WorkerId>,
-    /// Workers that are not inactive.
+    /// Workers whose activity decisions have to consider.
     active: BTreeSet<WorkerId>,
     /// Time of the last search for workers that can be marked as inactive.
     last_deactivation: Micros,
--- a/src/policy/prefill_choice.rs
+++ b/src/policy/prefill_choice.rs
@@ -81,7 +81,6 @@
 
 /// The prefill worker selected for a request.
 pub(super) struct PrefillChoice {
-    /// The selected worker.
     pub worker: WorkerId,
     /// Prompt tokens that are not presumed to be cached at the worker.
     pub uncached_tokens: f64,
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -65,28 +65,25 @@
 /// An attempt of a request at a worker, as the policy tracks it.
 #[derive(Clone)]
 pub(super) struct TrackedAttempt {
-    /// The worker.
     pub worker: WorkerId,
-    /// The stage that it runs.
     pub stage: Stage,
     /// Distance from the held KV cache to the worker; [`Distance::Remote`] if no cache is held.
     pub distance: Distance,
-    /// When it was sent.
     pub sent_at: Micros,
-    /// When it becomes overdue, which counts against its worker's health.
+    /// When the attempt becomes overdue, which counts against the worker's health.
     pub overdue_at: Micros,
-    /// Tokens that it adds to the worker's queue or KV cache.
+    /// Tokens that the attempt adds to the worker's queue or KV cache.
     pub added_tokens: f64,
-    /// Tokens to process until its response starts, including those queued before it.
+    /// Tokens that the worker processes until the response starts, including those queued before the attempt.
     pub work_tokens: f64,
-    /// Its outcome; `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
-    /// When its response stream started.
+    /// When the response stream started; `None` before that.
     pub stream_started_at: Option<Micros>,
 }
 
 impl TrackedAttempt {
-    /// Whether it may have had an effect, or still may.
+    /// Whether the attempt may have had an effect, or still may.
     fn may_have_run(&self) -> bool {
         match self.outcome {
             None => true,
@@ -99,11 +96,10 @@
 pub(super) struct Request {
     /// The request as received from the client.
     pub spec: RequestSpec,
-    /// The index of its class in the settings.
+    /// The index of the request's class in the settings.
     pub class_index: usize,
-    /// When it was received.
     pub received_at: Micros,
-    /// Whether it is within its tenant's quota.
+    /// Whether the request is within its tenant's quota.
     pub quota: QuotaStatus,
     phase: RequestPhase,
     attempts: Vec<TrackedAttempt>,
@@ -118,12 +114,11 @@
         Request { spec, class_index, received_at, quota, phase, attempts, health_checks_left }
     }
 
-    /// Its phase.
     pub fn phase(&self) -> &RequestPhase {
         &self.phase
     }
 
-    /// Its attempts in the order of sending.
+    /// All attempts of the request, in the order of sending.
     pub fn attempts(&self) -> &[TrackedAttempt] {
         &self.attempts
     }
@@ -134,7 +129,7 @@
         Some(())
     }
 
-    /// Its attempts without an outcome.
+    /// The attempts of the request that have no outcome yet.
     pub fn in_flight(&self) -> impl Iterator<Item = &TrackedAttempt> {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none())
     }
@@ -154,7 +149,7 @@
         self.attempts.iter().any(|a| a.stage == Stage::Decode && a.worker == *worker)
     }
 
-    /// Its class and tenant, by which workers may decide to reject requests.
+    /// The request's class and tenant, by which workers may decide to reject requests.
     pub fn traffic_key(&self) -> TrafficKey {
         TrafficKey { class_index: self.class_index, tenant: self.spec.tenant.clone() }
     }
--- a/src/policy/sweep.rs
+++ b/src/policy/sweep.rs
@@ -17,7 +17,7 @@
 }
 
 impl SweepTimer {
-    /// Its ID.
+    /// Identifies the sweep timer in [`Action::SetTimer`] and in the event that it fires.
     pub const ID: TimerId = TimerId(1);
 
     /// Schedules the next sweep, unless one is scheduled already.
@@ -33,7 +33,6 @@
     }
 }
 
-/// The time between sweeps.
 fn sweep_interval(settings: &Settings) -> Micros {
     let min_interval = settings.event_interval.max(MIN_SWEEP_INTERVAL);
     (settings.cache_hold_limit / SWEEPS_PER_HOLD_LIMIT).clamp(min_interval, MAX_SWEEP_INTERVAL)
--- a/src/policy/topology.rs
+++ b/src/policy/topology.rs
@@ -166,8 +166,8 @@
 
     /// The decode capacity ratio of this cell and zone.
     ///
-    /// It is computed from the endpoint list alone, so that all routers agree on it: each router sees too
-    /// little of the others' load.
+    /// The ratio is computed from the endpoint list alone, so that all routers agree on it: each router sees
+    /// too little of the others' load.
     pub fn decode_capacity_ratio(&self, location: &Location) -> DecodeCapacityRatio {
         let ratio = |domain: &TopologyDomain| domain.capacity.get().decode_to_prefill_ratio(&self.total);
         DecodeCapacityRatio { cell: ratio(&location.cell_domain), zone: ratio(&location.zone_domain) }
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -44,11 +44,11 @@
 /// Whether a connection is evicted because other connections need its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eviction {
-    /// It is not evicted.
+    /// The connection is not evicted.
     None,
-    /// It is evicted, with time for the client to close first.
+    /// The connection is evicted, with time for the client to close first.
     Graceful,
-    /// It is evicted at once.
+    /// The connection is evicted at once.
     Immediate,
 }
 
@@ -72,7 +72,7 @@
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It ended as HTTP provides: after its last response, or by the client between two requests.
+    /// The connection ended as HTTP provides: after its last response, or by the client between two requests.
     Completed,
     /// The body of a response failed because the worker's stream broke. Handled like
     /// [`CloseReason::Completed`].
@@ -84,9 +84,9 @@
     MalformedRequest,
     /// No byte was received in time after the accept.
     Silent,
-    /// The idle timeout after its last response has passed.
+    /// The idle timeout after the connection's last response has passed.
     Idle,
-    /// Its slot was needed for another connection.
+    /// The connection's slot was needed for another connection.
     Evicted,
     /// The router is shutting down.
     Shutdown,
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -50,9 +50,9 @@
     pub is_request_open: bool,
     /// Whether the client has disconnected.
     pub client_disconnected: bool,
-    /// The current time.
+    /// The time of the check.
     pub now: Micros,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub deadline: Micros,
     /// The time before which the first byte and each later part must be written, so that the attempt arrives
     /// inside its deduplication window; `None`: no limit.
@@ -66,9 +66,9 @@
 pub enum WithholdReason {
     /// The request has its final response.
     HasFinalResponse,
-    /// The client has disconnected.
+    /// The client of the request has disconnected.
     ClientDisconnected,
-    /// The attempt has timed out.
+    /// The attempt's deadline has passed.
     TimedOut,
     /// Workers would no longer recognize the attempt as a duplicate.
     DeduplicationWindowExpired,
--- a/src/runtime/active_request.rs
+++ b/src/runtime/active_request.rs
@@ -62,7 +62,7 @@
 
 /// The policy's specification of an attempt.
 pub(super) struct AttemptSpec {
-    /// The destination.
+    /// The worker that receives the attempt.
     pub worker: WorkerId,
     /// The stage that the worker executes.
     pub stage: Stage,
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -20,7 +20,7 @@
         Clock { origin: Instant::now(), origin_time: since_epoch.as_micros() as Micros }
     }
 
-    /// The current time.
+    /// The time now: the wall-clock time at the start of the clock plus the monotonic time since then.
     pub fn now(&self) -> Micros {
         self.origin_time + self.origin.elapsed().as_micros() as Micros
     }
--- a/src/runtime/counters.rs
+++ b/src/runtime/counters.rs
@@ -28,7 +28,7 @@
     };
 }
 
-/// A monotonic counter.
+/// A counter of one kind of occurrence since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
@@ -38,7 +38,7 @@
         self.0.set(self.0.get() + 1);
     }
 
-    /// The current value.
+    /// The number of increments so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/src/runtime/driver/mod.rs
+++ b/src/runtime/driver/mod.rs
@@ -1,7 +1,7 @@
 //! The driver: the event loop that passes events to the policy and executes its actions.
 //!
-//! [`inputs`](self::inputs) handles the driver's inputs, [`actions`](self::actions) executes the policy's
-//! actions, and [`limits`](self::limits) enforces time limits independently of the policy.
+//! [`inputs`] handles the driver's inputs, [`actions`] executes the policy's actions, and [`limits`] enforces
+//! time limits independently of the policy.
 
 mod actions;
 mod inputs;
--- a/src/runtime/exchange/request.rs
+++ b/src/runtime/exchange/request.rs
@@ -12,13 +12,13 @@
 pub struct ForwardedRequest {
     /// The request id that is sent to workers.
     pub id: String,
-    /// The path and query.
+    /// The path and query of the request to a worker.
     pub target: String,
     /// The client's end-to-end headers.
     pub headers: HeaderMap,
-    /// The request body.
+    /// The complete body of the request to a worker.
     pub body: Bytes,
-    /// The connection of the client.
+    /// Tells whether the client that sent the request has disconnected.
     pub client: ClientConnection,
     /// Resources that the request occupies, such as its id and its share of memory. They are freed with the
     /// last reference, which may be after the final response: at the end of the request's last attempt or
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -29,11 +29,11 @@
 
 /// An input of the driver.
 pub enum DriverInput {
-    /// A request was received.
+    /// A request was received from a client.
     RequestReceived {
         /// The request as the policy sees it.
         spec: RequestSpec,
-        /// When it was submitted to the driver.
+        /// When the request was submitted to the driver.
         received_at: Micros,
         /// The request as it is forwarded to workers.
         forwarded: Rc<ForwardedRequest>,
@@ -44,45 +44,45 @@
     ClientDisconnected(RequestId),
     /// The first event of a stream was received from a worker.
     StreamStarted {
-        /// The request.
+        /// The request that the stream responds to.
         request: RequestId,
-        /// The attempt.
+        /// The index of the attempt whose response is streamed.
         attempt: AttemptIndex,
-        /// The stream.
+        /// Yields the events of the response.
         stream: ResponseStream,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// The index of the attempt that ended.
         attempt: AttemptIndex,
-        /// The result.
+        /// The outcome, with the values that the worker reported.
         result: AttemptResult,
     },
     /// The endpoint list was updated, or an update failed.
     EndpointsUpdated {
-        /// The kind of the update.
+        /// Whether the endpoints are changes or the complete list, or whether the update failed.
         kind: UpdateKind,
-        /// The endpoints that it contains.
+        /// The entries of the update.
         endpoints: Vec<Endpoint>,
     },
     /// A decode worker has responded to a request to reserve a slot.
     SlotReservationAnswered {
-        /// The request.
+        /// The request that the slot was to be reserved for.
         request: RequestId,
-        /// The worker.
+        /// The decode worker that responded.
         worker: WorkerId,
-        /// Whether the slot is reserved.
+        /// Whether the worker has reserved the slot.
         reserved: bool,
     },
     /// The result of a health check.
     HealthChecked {
-        /// The worker.
+        /// The worker that was checked.
         worker: WorkerId,
-        /// [`Outcome::Completed`], or the failure.
+        /// [`Outcome::Completed`] if the worker is healthy, else the kind of failure.
         outcome: Outcome,
-        /// The load of the worker, if it was reported.
+        /// The load that the worker reported in its response; `None` without a report.
         report: Option<LoadReport>,
     },
 }
--- a/src/runtime/lag.rs
+++ b/src/runtime/lag.rs
@@ -28,14 +28,14 @@
 /// A change of the overload state, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LagChange {
-    /// The thread is overloaded.
+    /// An overload was detected.
     Overloaded {
-        /// The delay of the last timer.
+        /// The time by which the last timer was late.
         lag: Micros,
     },
-    /// The overload has ended.
+    /// The overload that was reported last has ended.
     Recovered {
-        /// The duration of the overload.
+        /// The time from the detection of the overload to that of its end.
         after: Micros,
     },
 }
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -12,9 +12,9 @@
     pub request: RequestId,
     /// Open while the request awaits its final response. Once it is closed, the attempt must not start.
     pub request_state: RequestState,
-    /// The attempt's index.
+    /// The index of the attempt within its request.
     pub index: AttemptIndex,
-    /// The destination.
+    /// The worker that receives the attempt.
     pub worker: WorkerId,
     /// The stage that the worker executes. Only the response of a decode is a stream.
     pub stage: Stage,
