--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -30,7 +30,7 @@
         variable: &'static str,
         /// The value of the variable.
         value: String,
-        /// The parse error.
+        /// Why the value is not an address.
         source: AddrParseError,
     },
     /// The settings of the policy are invalid.
@@ -39,15 +39,15 @@
     /// The seed is a string, but not a hexadecimal number.
     #[error("configuration: seed: not a hexadecimal number: {value:?}")]
     InvalidSeed {
-        /// The configured value.
+        /// The string that the configuration contains.
         value: String,
-        /// The parse error.
+        /// Why the string is not a hexadecimal number.
         source: std::num::ParseIntError,
     },
     /// The memory limit is below the minimum.
     #[error("configuration: limits.memory_mb: at least {minimum_mb} are needed")]
     TooLittleMemory {
-        /// The minimum, in MB.
+        /// The lowest accepted value of `limits.memory_mb`, in MB.
         minimum_mb: usize,
     },
 }
--- a/src/frontend/chat_completions.rs
+++ b/src/frontend/chat_completions.rs
@@ -42,7 +42,7 @@
 pub enum RequestHeader {
     /// The request's id, which workers receive too.
     RequestId,
-    /// The request class.
+    /// The name of the request's class.
     Class,
     /// The time until the client's deadline, from when it sent the request.
     Deadline,
--- a/src/frontend/jsonrpc/message_handler.rs
+++ b/src/frontend/jsonrpc/message_handler.rs
@@ -28,7 +28,6 @@
 pub struct HandlerContext {
     /// Validates and submits requests.
     pub call_starter: CallStarter,
-    /// The calls in progress.
     pub active_calls: Rc<ActiveCalls>,
     /// Runs tool calls.
     pub replay_buffer: Rc<ReplayBuffer>,
--- a/src/frontend/jsonrpc/output.rs
+++ b/src/frontend/jsonrpc/output.rs
@@ -21,7 +21,7 @@
     Streamed(mpsc::Sender<Frame>),
     /// The text of an answer within a batch, which is sent only as part of the batch's response.
     Collected {
-        /// The text so far.
+        /// The text that the relay has received so far.
         text: String,
         /// The connection on which the batch was received.
         client: Rc<ClientSocket>,
--- a/src/frontend/jsonrpc/params.rs
+++ b/src/frontend/jsonrpc/params.rs
@@ -7,7 +7,6 @@
 use serde_json::value::RawValue;
 use std::ops::RangeInclusive;
 
-/// The accepted deadlines.
 const DEADLINE_RANGE_MS: RangeInclusive<u64> = 1..=600_000;
 /// The longest accepted session or prefix key.
 const MAX_KEY_BYTES: usize = 256;
@@ -24,7 +23,7 @@
     pub session: Option<String>,
     /// The key of the prefix that the prompt shares with other prompts.
     pub prefix: Option<String>,
-    /// The length of that prefix in tokens.
+    /// The length of the shared prefix in tokens.
     #[serde(default, rename = "prefix_len")]
     pub prefix_tokens: u64,
     /// The length of the whole prompt in tokens, if the client knows it.
@@ -45,7 +44,7 @@
     /// The number of `tool` notifications with the state `calling` that came before the last `delta`.
     #[serde(rename = "calls")]
     pub tool_calls: u32,
-    /// The text received so far.
+    /// The text that the client received before the stream broke.
     pub text: String,
 }
 
@@ -53,7 +52,7 @@
     /// Decodes and validates the parameters of a request.
     ///
     /// # Errors
-    /// They are missing, malformed or out of bounds.
+    /// The parameters are missing, malformed or out of bounds.
     pub fn decode(raw: Option<&RawValue>) -> Result<CompletionParams, RpcError> {
         let raw = raw.ok_or(RpcError::InvalidParams)?;
         let params: CompletionParams =
@@ -112,7 +111,7 @@
     /// Decodes the parameters of a cancellation.
     ///
     /// # Errors
-    /// They are missing or malformed.
+    /// The parameters are missing or malformed.
     pub fn decode(raw: Option<&RawValue>) -> Result<CancelParams, RpcError> {
         let raw = raw.ok_or(RpcError::InvalidParams)?;
         serde_json::from_str(raw.get()).map_err(|_| RpcError::InvalidParams)
--- a/src/frontend/jsonrpc/protocol.rs
+++ b/src/frontend/jsonrpc/protocol.rs
@@ -22,7 +22,6 @@
     /// The sender's id for the request; a notification has none.
     #[serde(default, deserialize_with = "deserialize_nullable")]
     pub id: Option<Box<RawValue>>,
-    /// The method name.
     pub method: String,
     /// The parameters, not decoded yet.
     #[serde(default, deserialize_with = "deserialize_nullable")]
--- a/src/frontend/jsonrpc/replay_buffer.rs
+++ b/src/frontend/jsonrpc/replay_buffer.rs
@@ -51,7 +51,7 @@
     /// Cancels the call while it is in flight.
     cancel: watch::Sender<bool>,
     completed_at: Option<Instant>,
-    /// The estimated memory use.
+    /// The estimated memory use of the entry.
     bytes: usize,
 }
 
--- a/src/frontend/jsonrpc/sse.rs
+++ b/src/frontend/jsonrpc/sse.rs
@@ -22,9 +22,8 @@
     NotUtf8(#[from] std::str::Utf8Error),
 }
 
-/// Buffers bytes and returns the data of complete events.
-/// [`EventStream`](crate::net::upstream::event_stream::EventStream) has already checked that the bytes are
-/// events, and passes them on unchanged.
+/// Buffers bytes and returns the data of complete events. `EventStream` of the upstream client has already
+/// checked that the bytes are events, and passes them on unchanged.
 #[derive(Default)]
 pub struct SseDecoder {
     buffer: BytesMut,
--- a/src/frontend/jsonrpc/tool_client.rs
+++ b/src/frontend/jsonrpc/tool_client.rs
@@ -49,7 +49,6 @@
     Possible,
 }
 
-/// A call in flight.
 struct PendingCall<'a> {
     id: &'a str,
     body: Bytes,
--- a/src/frontend/request_body.rs
+++ b/src/frontend/request_body.rs
@@ -11,7 +11,7 @@
 
 /// A body that has been received in full.
 pub struct RequestBody {
-    /// The content.
+    /// The bytes of the body without its transfer encoding.
     pub bytes: Bytes,
     /// The memory reserved for `bytes`, to be held as long as they are.
     pub reservation: MemoryReservation,
--- a/src/import/haproxy/error.rs
+++ b/src/import/haproxy/error.rs
@@ -6,7 +6,7 @@
 pub struct ImportError {
     /// Line number, from 1; one past the last line if the file as a whole lacks something.
     pub line: usize,
-    /// The error.
+    /// What is wrong with the line or with the file as a whole.
     #[source]
     pub kind: ImportErrorKind,
 }
@@ -23,45 +23,45 @@
     /// A duration has a unit that HAProxy does not define.
     #[error("unknown time unit {unit:?} in {text:?}")]
     UnknownTimeUnit {
-        /// The unit.
+        /// The part of the duration after its number.
         unit: String,
-        /// The whole value.
+        /// The duration as written, with its number.
         text: String,
     },
     /// A duration has no number or is too long.
     #[error("{text:?} is not a valid duration")]
     InvalidDuration {
-        /// The value.
+        /// The duration as written.
         text: String,
     },
     /// A value is not a number or is too large.
     #[error("{text:?} is not a number of at most 32 bits")]
     InvalidNumber {
-        /// The value.
+        /// The value as written.
         text: String,
     },
     /// An address has no port.
     #[error("{address:?} has no port")]
     MissingPort {
-        /// The address.
+        /// The address as written.
         address: String,
     },
     /// The port of an address is not a number from 1 to 65535.
     #[error("{port:?} is not a valid port")]
     InvalidPort {
-        /// The port.
+        /// The part of the address after its last colon.
         port: String,
     },
     /// A section refers to a `defaults` section that does not exist.
     #[error("no defaults section is named {name:?}")]
     UnknownDefaults {
-        /// The name.
+        /// The name that the section refers to.
         name: String,
     },
     /// A section that requires a name has none.
     #[error("{keyword} has no name")]
     UnnamedSection {
-        /// The section type.
+        /// The type of the section, such as `backend`.
         keyword: String,
     },
     /// The section header of a frontend has an address after the name, as old HAProxy versions allowed.
@@ -70,33 +70,33 @@
     /// Two sections of the same type have the same name.
     #[error("duplicate section {keyword} {name:?}")]
     DuplicateSection {
-        /// The section type.
+        /// The type of both sections, such as `backend`.
         keyword: String,
-        /// The name.
+        /// The name of both sections.
         name: String,
     },
     /// A directive precedes the first section.
     #[error("{keyword:?} outside of any section")]
     OutsideSection {
-        /// The directive.
+        /// The name of the directive.
         keyword: String,
     },
     /// A directive is not allowed in a `defaults` section.
     #[error("{keyword} is not allowed in a defaults section")]
     NotAllowedInDefaults {
-        /// The directive.
+        /// The name of the directive.
         keyword: String,
     },
     /// A directive lacks a required value.
     #[error("{keyword} requires a value")]
     MissingValue {
-        /// The directive.
+        /// The name of the directive.
         keyword: String,
     },
     /// A directive or an option lacks a required number.
     #[error("{keyword} requires a number")]
     MissingNumber {
-        /// The directive or option.
+        /// The name of the directive or option.
         keyword: &'static str,
     },
     /// No section accepts connections.
@@ -105,13 +105,13 @@
     /// The default backend of a frontend does not exist.
     #[error("no backend is named {name:?}")]
     UnknownBackend {
-        /// The name.
+        /// The name that the frontend refers to.
         name: String,
     },
     /// None of the backends that the frontend uses has a server.
     #[error("no server is reachable from {frontend}")]
     NoServers {
-        /// The frontend.
+        /// The name of the frontend.
         frontend: String,
     },
     /// The operator's file could not be serialized as TOML.
--- a/src/import/haproxy/lexer.rs
+++ b/src/import/haproxy/lexer.rs
@@ -8,7 +8,7 @@
     pub number: usize,
     /// The first word: the name of a directive, or the type of the section that begins.
     pub keyword: &'a str,
-    /// The other words.
+    /// The words after the keyword.
     pub arguments: &'a [&'a str],
 }
 
--- a/src/import/haproxy/operator_file.rs
+++ b/src/import/haproxy/operator_file.rs
@@ -157,7 +157,6 @@
     }
 }
 
-/// A request class.
 #[derive(Serialize)]
 struct Class {
     #[serde(rename = "effect")]
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -31,8 +31,8 @@
     /// The request may run any number of times.
     #[default]
     Idempotent,
-    /// The request carries an idempotency key: workers within the scope drop duplicates during the deduplication
-    /// window.
+    /// The request carries an idempotency key: workers within the scope drop duplicates during the
+    /// deduplication window.
     Keyed(DeduplicationScope),
     /// The request must not run more than once.
     NonIdempotent,
@@ -50,8 +50,7 @@
     Cell,
 }
 
-/// A request class: what requests of one kind promise about repeated runs, and how fast and how urgently
-/// they are answered.
+/// A request class: whether its requests may run more than once, their latency objectives and their priority.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     /// The name by which requests refer to the class.
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
        llm-router serve FILE           serve with an operator's TOML file
        llm-router import haproxy FILE  convert an HAProxy configuration to an operator's file";
 
-/// A parsed command line.
+/// What the command line asks for.
 enum Command {
     ServeFromEnvironment,
     ServeFile(String),
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -28,7 +28,7 @@
 
 /// The current endpoint list, which the upstream client consults before it sends.
 ///
-/// It may be newer than the driver's view, so a send that the driver has decided on can still be withheld.
+/// The list may be newer than the driver's view, so a send that the driver has decided on can still be withheld.
 #[derive(Default)]
 pub struct Directory {
     /// The listed workers except those that are gone.
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -20,7 +20,7 @@
     Handshake {
         /// The agent's address.
         address: SocketAddr,
-        /// The error from hyper.
+        /// Why the handshake failed.
         source: hyper::Error,
     },
     /// The request could not be built.
@@ -38,7 +38,7 @@
         address: SocketAddr,
         /// The path and query of the request.
         target: String,
-        /// The error from hyper.
+        /// Why sending failed, or how the connection ended.
         source: hyper::Error,
     },
     /// The response status is not 200.
@@ -48,17 +48,17 @@
         address: SocketAddr,
         /// The path and query of the request.
         target: String,
-        /// The response status.
+        /// The status of the agent's response.
         status: hyper::StatusCode,
     },
-    /// The call timed out.
+    /// The agent did not respond within the timeout of the call.
     #[error("GET {target} at {address}: no response within {timeout:?}")]
     CallTimedOut {
         /// The agent's address.
         address: SocketAddr,
         /// The path and query of the request.
         target: String,
-        /// The timeout of the call.
+        /// How long the router waited for the response.
         timeout: Duration,
     },
     /// Reading a response body failed.
--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -89,7 +89,7 @@
         })
     }
 
-    /// The TCP stream.
+    /// The accepted TCP stream that the connection runs on.
     pub fn stream(&self) -> &Rc<TcpStream> {
         &self.stream
     }
--- a/src/net/server/gated_socket.rs
+++ b/src/net/server/gated_socket.rs
@@ -16,7 +16,7 @@
 /// Never reads past the end of the request being received, and reports reads and blocked writes to the
 /// [`ClientSocket`].
 ///
-/// It wraps a [`Socket`] instead of using a [`WriteMonitor`](crate::net::socket::WriteMonitor), since a
+/// The type wraps a [`Socket`] instead of using a [`WriteMonitor`](crate::net::socket::WriteMonitor), since a
 /// monitor observes neither reads nor pending writes.
 pub struct GatedSocket {
     socket: Socket,
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -12,7 +12,7 @@
 
 /// Handles the requests of all connections.
 ///
-/// It is cloned for each request. The future of a call is dropped if its connection ends first.
+/// The handler is cloned for each request. The future of a call is dropped if its connection ends first.
 pub trait RequestHandler:
     Service<
         ReceivedRequest,
--- a/src/net/upstream/call.rs
+++ b/src/net/upstream/call.rs
@@ -27,7 +27,7 @@
     /// A call without a body.
     ///
     /// # Errors
-    /// The path is invalid.
+    /// `path` is not a valid path of an HTTP request.
     pub(super) fn new(worker: WorkerId, method: Method, path: &str) -> hyper::http::Result<Self> {
         let request = Request::builder().method(method).uri(path).header("host", WORKER_HOST);
         Ok(UnaryCall { worker, request: request.body(Full::default())?, body_length: 0 })
@@ -36,7 +36,7 @@
     /// A `POST` of a JSON document.
     ///
     /// # Errors
-    /// The path is invalid.
+    /// `path` is not a valid path of an HTTP request.
     pub(super) fn post_json(worker: WorkerId, path: &str, body: Bytes) -> hyper::http::Result<Self> {
         let request = Request::post(path).header("host", WORKER_HOST);
         let request = request.header("content-type", "application/json");
@@ -47,9 +47,9 @@
 
 /// The response to a [`UnaryCall`].
 pub struct UnaryResponse {
-    /// The status code.
+    /// The HTTP status of the worker's response.
     pub status: StatusCode,
-    /// The complete body.
+    /// The body, complete and at most [`MAX_BUFFERED_BODY_BYTES`] long.
     pub body: Bytes,
 }
 
@@ -62,25 +62,25 @@
     /// The connection could not be established.
     #[error("call to {}: no connection: {source}", worker.0)]
     Connect {
-        /// The called worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// The pool's error.
+        /// Why the pool could not provide a connection.
         source: ConnectError,
     },
     /// The connection failed before the complete response head arrived.
     #[error("call to {}: no response: {source}", worker.0)]
     NoResponse {
-        /// The called worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// hyper's error.
+        /// How the connection failed.
         source: hyper::Error,
     },
     /// The response body is too long or incomplete.
     #[error("call to {}: invalid response body: {source}", worker.0)]
     Body {
-        /// The called worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// The error from reading the body.
+        /// Why the body could not be buffered.
         source: BodyError,
     },
 }
--- a/src/net/upstream/response.rs
+++ b/src/net/upstream/response.rs
@@ -63,7 +63,7 @@
 /// The classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ResponseKind {
-    /// The requested stream.
+    /// The event stream that the attempt asked for.
     Stream,
     /// A response whose status determines the outcome, with a short body.
     Final(Outcome),
--- a/src/process/error.rs
+++ b/src/process/error.rs
@@ -15,7 +15,7 @@
     ReadFile {
         /// The path of the file.
         file: String,
-        /// The system error.
+        /// Why the file could not be read.
         source: io::Error,
     },
     /// The configuration is invalid.
@@ -24,7 +24,7 @@
     /// The configured limit leaves too few sockets for connections to workers.
     #[error("configuration: limits.sockets: {sockets} sockets are too few")]
     TooFewSockets {
-        /// The configured limit.
+        /// The configured number of sockets.
         sockets: usize,
     },
     /// The async runtime could not be started.
@@ -36,9 +36,9 @@
     /// The listening socket could not be opened.
     #[error("listening on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The listen address from the configuration or the environment.
         address: SocketAddr,
-        /// The system error.
+        /// Why the socket could not be opened.
         source: io::Error,
     },
 }
--- a/src/process/shutdown.rs
+++ b/src/process/shutdown.rs
@@ -23,7 +23,6 @@
     pub phase_sender: watch::Sender<ShutdownPhase>,
     /// The task that accepts connections. It ends once the closing phase is announced.
     pub accept_task: JoinHandle<()>,
-    /// The open client connections.
     pub connections: Rc<Connections>,
     /// The ids of the requests in flight.
     pub active_ids: Rc<ActiveRequestIds>,
--- a/src/wire_format/load_report.rs
+++ b/src/wire_format/load_report.rs
@@ -11,13 +11,13 @@
     /// An item has no separator between name and value.
     #[error("load report: no value in {item:?}")]
     MissingValue {
-        /// The item as received.
+        /// The text of the item as the worker sent it.
         item: String,
     },
     /// The value of an item is not a number.
     #[error("load report: not a number in {item:?}")]
     InvalidValue {
-        /// The item as received.
+        /// The text of the item as the worker sent it.
         item: String,
     },
 }
@@ -35,7 +35,7 @@
 /// skipped.
 ///
 /// # Errors
-/// The first malformed item.
+/// An item has no separator, or its value is not a number. The error is that of the first such item.
 pub fn parse_load_report(text: &str) -> Result<LoadReport, LoadReportError> {
     let mut report = LoadReport::default();
     for item in text.split(',') {
--- a/src/wire_format/setting_values.rs
+++ b/src/wire_format/setting_values.rs
@@ -48,22 +48,22 @@
         SettingValues { by_key: pairs.collect() }
     }
 
-    /// An optional value.
+    /// The value of a key; `None` if the key is not set.
     pub fn optional_text(&self, key: &str) -> Option<&'a str> {
         self.by_key.get(key).copied()
     }
 
-    /// A required value.
+    /// The value of a key that has to be set.
     pub fn required_text(&self, key: &str) -> Result<&'a str, SettingsError> {
         self.optional_text(key).ok_or_else(|| SettingsError::missing(key))
     }
 
-    /// An optional value, parsed.
+    /// The parsed value of a key; `None` if the key is not set.
     pub fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         self.optional_text(key).map(|value| parse(key, value)).transpose()
     }
 
-    /// A required value, parsed.
+    /// The parsed value of a key that has to be set.
     pub fn required<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
         self.optional(key)?.ok_or_else(|| SettingsError::missing(key))
     }
