--- a/crates/fault-soak/src/deployment.rs
+++ b/crates/fault-soak/src/deployment.rs
@@ -25,7 +25,7 @@
 /// The time that the shutdown timeout adds to the longest first-token timeout of clients.
 const SHUTDOWN_ALLOWANCE: Duration = Duration::from_millis(700);
 
-/// A request class.
+/// A class of the requests that clients send in a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
     /// The name of the class in the settings of routers and in requests.
@@ -46,7 +46,7 @@
 /// The size of the fleet and the settings that its routers share.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// The number of routers.
+    /// The number of routers, each of which is a process of its own.
     pub router_count: usize,
     /// The number of prefill workers at the start.
     pub prefill_worker_count: usize,
--- a/crates/fault-soak/src/faults/workers.rs
+++ b/crates/fault-soak/src/faults/workers.rs
@@ -37,21 +37,21 @@
 /// The kinds of incorrect behaviour of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerMisbehaviour {
-    /// It responds with status 500.
+    /// The worker responds with status 500.
     Errors,
-    /// It rejects calls although it has capacity.
+    /// The worker rejects calls although it has capacity.
     Rejections,
-    /// It closes connections before responding.
+    /// The worker closes connections before responding.
     ClosesBeforeResponse,
-    /// It closes connections in the middle of its response.
+    /// The worker closes connections in the middle of its response.
     ClosesDuringResponse,
-    /// It never responds.
+    /// The worker never responds.
     Hangs,
-    /// Its responses can't be parsed.
+    /// The worker's responses can't be parsed.
     MalformedResponses,
-    /// It sends an unsolicited second response.
+    /// The worker sends an unsolicited second response.
     UnsolicitedResponses,
-    /// It is several times slower.
+    /// The worker is several times slower.
     Slow,
 }
 
--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -56,9 +56,9 @@
 /// The head of the response that a client received.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// When it arrived.
+    /// When the response arrived.
     pub at: Timestamp,
-    /// The HTTP status code.
+    /// The HTTP status that the router responded with.
     pub status: u16,
     /// Whether the response has a valid `Retry-After` header.
     pub has_retry_after: bool,
@@ -177,7 +177,7 @@
 }
 
 impl Request {
-    /// The last complete transmission.
+    /// The last transmission of the request that the client wrote completely; `None` if there is none.
     pub fn sent(&self) -> Option<RequestSent> {
         self.transmissions.iter().rev().find_map(|transmission| transmission.sent)
     }
@@ -238,7 +238,7 @@
 pub struct Observations {
     /// All records, in the order of their timestamps.
     pub entries: Vec<Entry>,
-    /// The requests by id.
+    /// The requests that clients sent, by id.
     pub requests: BTreeMap<RequestId, Request>,
     /// The processes of each router, in starting order.
     pub incarnations: BTreeMap<RouterIndex, Vec<Incarnation>>,
--- a/crates/fault-soak/src/oracle/reservations.rs
+++ b/crates/fault-soak/src/oracle/reservations.rs
@@ -34,7 +34,8 @@
     let longest = longest_idle_period(request, reservation.at, end);
     let Some(idle) = longest.filter(|idle| idle.length() > limit) else { return };
     let router = request.attempts.first().map_or(request.router, |attempt| attempt.router);
-    // A router is not responsible for a reservation that its process left behind when it was killed or exited.
+    // A router is not responsible for a reservation that its process left behind when it was killed or
+    // exited.
     let incarnation = run.incarnation(router, reservation.at);
     let ended = incarnation
         .and_then(|incarnation| incarnation.killed.or(incarnation.exit.as_ref().map(|exit| exit.at)));
--- a/crates/fault-soak/src/oracle/verdict.rs
+++ b/crates/fault-soak/src/oracle/verdict.rs
@@ -134,7 +134,7 @@
 pub enum RequestOutcome {
     /// The client received the complete stream.
     Completed,
-    /// The stream was truncated.
+    /// The router responded with 200, but the client did not receive the complete stream.
     Truncated,
     /// The router rejected the request with 429 or 503.
     Rejected,
--- a/crates/fault-soak/src/router/log.rs
+++ b/crates/fault-soak/src/router/log.rs
@@ -14,7 +14,7 @@
 /// Texts in log lines that report an invariant violation that the router detected itself, or a panic.
 const ERROR_PATTERNS: [&str; 2] = ["violation:", "panicked"];
 
-/// A log line.
+/// A line of a router's log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
     /// When the line was read.
--- a/crates/fleet-emulator/src/client/request.rs
+++ b/crates/fleet-emulator/src/client/request.rs
@@ -12,7 +12,7 @@
 /// The longest pause between two pieces.
 const MAX_SLOW_WRITE_PAUSE: Duration = Duration::from_millis(60);
 
-/// A chat completion request.
+/// A chat completion request, as the emulated client sends it.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The id of the request, which the client sends as `x-request-id`.
@@ -54,7 +54,8 @@
             r#"{{"model":"chat","stream":true,"max_tokens":{max_tokens},"messages":[{{"role":"user","content":"hello"}}]}}"#
         );
         format!(
-            "POST /v1/chat/completions HTTP/1.1\r\nhost: api.internal\r\nx-request-id: {id}\r\nx-class: {class}\r\n\
+            "POST /v1/chat/completions HTTP/1.1\r\nhost: api.internal\r\n\
+             x-request-id: {id}\r\nx-class: {class}\r\n\
              x-key: {session}\r\nx-deadline: {timeout_us}u\r\n\
              x-extras: {prefix}prompt_len={prompt_tokens},max_out={max_tokens}\r\n\
              content-type: application/json\r\ncontent-length: {}\r\n\r\n{body}",
--- a/crates/fleet-emulator/src/history.rs
+++ b/crates/fleet-emulator/src/history.rs
@@ -5,7 +5,7 @@
 use crate::sync::lock;
 use std::sync::{Arc, Mutex};
 
-/// A timestamped record.
+/// A record with the time of the observation.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// When the observation was made, which may be earlier than when it was added.
--- a/crates/fleet-emulator/src/record.rs
+++ b/crates/fleet-emulator/src/record.rs
@@ -113,7 +113,7 @@
     ResponseStarted {
         /// The request that is answered.
         request: RequestId,
-        /// The HTTP status code.
+        /// The HTTP status that the router responded with.
         status: u16,
         /// Whether the response has a valid `Retry-After` header.
         has_retry_after: bool,
@@ -320,7 +320,7 @@
     RouterErrorLogged {
         /// The router that logged the error.
         router: RouterIndex,
-        /// The complete log line.
+        /// The complete line of the router's log.
         line: String,
     },
     /// A fault started.
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -160,7 +160,8 @@
     fn encode_event(&self, number: u64) -> String {
         let (request, connection, now) = (&self.request, self.connection, clock::now().as_micros());
         format!(
-            "data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{request} {connection} {number} {now}\"}},\
+            "data: {{\"choices\":[{{\"index\":0,\
+             \"delta\":{{\"content\":\"{request} {connection} {number} {now}\"}},\
              \"finish_reason\":null}}]}}\n\n"
         )
     }
@@ -212,8 +213,11 @@
     async fn respond_unsolicited(&mut self) -> io::Result<()> {
         let delay = rand::rng().random_range(Duration::ZERO..MAX_UNSOLICITED_RESPONSE_DELAY);
         tokio::time::sleep(delay).await;
-        self.write(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 12\r\n\r\ndata: no\n\n\r\n")
-            .await
+        self.write(
+            b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ncontent-length: 12\r\n\r\n\
+              data: no\n\n\r\n",
+        )
+        .await
     }
 
     /// Sends one of four kinds of malformed response, and closes the connection after [`HANG_DURATION`]:
--- a/crates/fleet-emulator/tests/link.rs
+++ b/crates/fleet-emulator/tests/link.rs
@@ -13,7 +13,8 @@
 /// A loopback address that no other test listens on.
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 3);
 const CONNECT_DELAY: Duration = Duration::from_millis(300);
-const ATTEMPT: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nx-request-id: q\r\nx-deadline: 5000m\r\ncontent-length: 0\r\n\r\n";
+const ATTEMPT: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nx-request-id: q\r\nx-deadline: 5000m\r\n\
+    content-length: 0\r\n\r\n";
 
 fn worker(history: &History) -> std::sync::Arc<Worker> {
     let settings = WorkerSettings {
--- a/crates/fleet-emulator/tests/worker.rs
+++ b/crates/fleet-emulator/tests/worker.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tokio::io::{AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 
-const ATTEMPT: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nx-request-id: q\r\nx-deadline: 5000m\r\ncontent-length: 0\r\n\r\n";
+const ATTEMPT: &[u8] = b"POST /v1/chat/completions HTTP/1.1\r\nx-request-id: q\r\nx-deadline: 5000m\r\n\
+    content-length: 0\r\n\r\n";
 const RELEASE: &[u8] = b"DELETE /internal/reservations/q HTTP/1.1\r\n\r\n";
 
 /// The router's side of a connection to a worker.
--- a/tests/support/requests.rs
+++ b/tests/support/requests.rs
@@ -5,7 +5,8 @@
     let length = body.len();
     format!(
         "POST /v1/chat/completions?x=1 HTTP/1.1\r\nhost: a\r\nx-request-id: {id}\r\nx-class: {class}\r\n\
-         x-deadline: 8000m\r\nx-key: s-{id}\r\nx-extras: prompt_len=100,max_out=50\r\ncontent-length: {length}\r\n\r\n{body}"
+         x-deadline: 8000m\r\nx-key: s-{id}\r\nx-extras: prompt_len=100,max_out=50\r\n\
+         content-length: {length}\r\n\r\n{body}"
     )
 }
 
