--- a/crates/fault-soak/src/faults/clients.rs
+++ b/crates/fault-soak/src/faults/clients.rs
@@ -21,12 +21,12 @@
 pub enum ClientFault {
     /// Clients send malformed and incomplete requests.
     Misbehaving {
-        /// The routers to which they connect.
+        /// The routers to which the clients connect.
         routers: Vec<RouterIndex>,
     },
     /// Hundreds of clients connect to each router and send nothing.
     IdleConnections {
-        /// The routers to which they connect.
+        /// The routers to which the clients connect.
         routers: Vec<RouterIndex>,
     },
     /// Many clients disconnect early.
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -30,11 +30,11 @@
     Router(RouterFault),
     /// A fault of service discovery.
     Discovery(DiscoveryFault),
-    /// A fault of workers.
+    /// A fault of some worker processes.
     Worker(WorkerFault),
     /// A fault of the network between routers and workers.
     Link(LinkFault),
-    /// A fault of clients.
+    /// Unusual behaviour of clients.
     Client(ClientFault),
 }
 
--- a/crates/fault-soak/src/oracle/verdict.rs
+++ b/crates/fault-soak/src/oracle/verdict.rs
@@ -55,12 +55,12 @@
     Recovery,
 }
 
-/// A violated invariant.
+/// An observation that contradicts an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Which invariant was violated.
     pub invariant: Invariant,
-    /// When it was violated.
+    /// When the invariant was violated.
     pub at: Timestamp,
     /// The router that violated the invariant; 0 for [`Invariant::SlowStart`], which concerns the calls of
     /// all routers together.
--- a/crates/fleet-emulator/src/http.rs
+++ b/crates/fleet-emulator/src/http.rs
@@ -87,7 +87,7 @@
 pub enum ConnectionUse {
     /// The connection may carry another request.
     Reuse,
-    /// The connection is closed.
+    /// The connection carries no further request and is closed.
     Close,
 }
 
--- a/crates/fleet-emulator/src/worker/exchange.rs
+++ b/crates/fleet-emulator/src/worker/exchange.rs
@@ -35,7 +35,7 @@
     pub(super) max_output_tokens: u64,
 }
 
-/// A call in progress.
+/// A call to an emulated worker, from the received request to the end of the response.
 pub(super) struct Exchange<'a, W> {
     pub(super) worker: &'a Worker,
     pub(super) output: &'a mut W,
--- a/src/frontend/context.rs
+++ b/src/frontend/context.rs
@@ -15,11 +15,11 @@
     pub request_classes: Vec<String>,
     /// Whether the router can serve requests, as the health check reports it.
     pub is_ready: Box<dyn Fn() -> bool>,
-    /// The router's counters.
+    /// The counters that all components of the router share.
     pub counters: Rc<Counters>,
-    /// The memory budget of request bodies.
+    /// The memory that the bodies of all requests in flight may occupy together.
     pub body_memory: Rc<MemoryBudget>,
-    /// The ids of active requests.
+    /// The ids of active requests, none of which another request may use at the same time.
     pub active_ids: Rc<ActiveRequestIds>,
 }
 
--- a/src/frontend/jsonrpc/active_calls.rs
+++ b/src/frontend/jsonrpc/active_calls.rs
@@ -18,7 +18,6 @@
     Superseded,
 }
 
-/// A call in the table.
 struct Entry {
     /// Interrupts the call's task.
     interrupt: watch::Sender<Option<Interruption>>,
--- a/src/frontend/jsonrpc/call.rs
+++ b/src/frontend/jsonrpc/call.rs
@@ -34,7 +34,7 @@
 pub struct StreamingCall {
     /// Reports a disconnect to the driver if it is dropped before the stream has ended.
     pub disconnect_guard: DisconnectGuard,
-    /// The decode worker's stream.
+    /// The response of the decode worker, whose events form the answer.
     pub stream: ResponseStream,
     /// The call's state for the relay.
     pub context: CallContext,
--- a/src/frontend/jsonrpc/relay.rs
+++ b/src/frontend/jsonrpc/relay.rs
@@ -48,7 +48,8 @@
     /// name is free once this returns.
     ///
     /// # Errors
-    /// The answer is incomplete.
+    /// The answer is incomplete for one of the reasons in [`RelayError`]. [`RelayError::Cancelled`] is not
+    /// returned, since a cancelled request still gets a response.
     pub async fn run(mut self, output: &mut AnswerOutput) -> Result<Vec<u8>, RelayError> {
         let id = self.context.id.clone();
         match self.relay_stream(output).await {
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -26,7 +26,7 @@
         /// The time from the sending of the attempt to the start of the stream.
         elapsed: Micros,
     },
-    /// An attempt ended.
+    /// An attempt ended, with or without success.
     AttemptEnded(AttemptEnd),
     /// A decode worker responded to the reservation of a slot. Ignored by the current policy, which never
     /// reserves slots.
@@ -38,14 +38,15 @@
         /// Whether the worker has reserved the slot.
         reserved: bool,
     },
-    /// The client disconnected.
+    /// A request needs no response any more: its client disconnected, or the runtime ended the request at its
+    /// response deadline.
     ClientDisconnected {
-        /// The request that the client sent.
+        /// The request that needs no response.
         request: RequestId,
     },
-    /// A timer fired.
+    /// A timer fired that the policy has set.
     Timer(TimerId),
-    /// A health check ended.
+    /// A worker responded to a health check, or the health check failed.
     HealthChecked {
         /// The worker that was checked.
         worker: WorkerId,
@@ -58,7 +59,7 @@
     GossipReceived {
         /// The sender's replica index.
         from: u32,
-        /// The encoded message.
+        /// The message as the sender encoded it.
         payload: Vec<u8>,
     },
 }
--- a/src/net/upstream/event_stream.rs
+++ b/src/net/upstream/event_stream.rs
@@ -75,7 +75,7 @@
     /// Cancel safe: no data is lost if the future is dropped.
     ///
     /// # Errors
-    /// The stream is corrupted.
+    /// The body could not be read, a line is not valid in an event, or an event is too long.
     pub async fn next_part(&mut self) -> Result<Option<StreamPart>, EventStreamError> {
         while let Some(frame) = self.body.frame().await {
             let Ok(data) = frame?.into_data() else { continue };
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -70,7 +70,6 @@
     counters: Rc<Counters>,
 }
 
-/// A connection that may be reused.
 struct IdleConnection {
     connection: Connection,
     /// The peer's address. The connection is not reused after the worker has changed its address.
--- a/src/net/upstream/release.rs
+++ b/src/net/upstream/release.rs
@@ -58,7 +58,6 @@
     Pending,
 }
 
-/// A release in progress.
 struct CacheRelease<'a> {
     client: &'a UpstreamClient,
     request: &'a ForwardedRequest,
--- a/src/policy/context.rs
+++ b/src/policy/context.rs
@@ -36,7 +36,6 @@
 }
 
 impl<'a> DecisionContext<'a> {
-    /// A request's class.
     pub fn class(&self, request: &Request) -> &'a Class {
         &self.settings.classes[request.class_index]
     }
--- a/src/policy/feedback.rs
+++ b/src/policy/feedback.rs
@@ -12,7 +12,7 @@
 /// as long as another worker is eligible.
 const REJECTION_PERIOD: Micros = LOAD_HALF_LIFE / 2;
 
-/// An attempt that has ended.
+/// An attempt that has ended, with the values that are learned from it.
 pub(super) struct EndedAttempt {
     /// The attempt as it was in flight, without its outcome.
     pub attempt: TrackedAttempt,
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -13,7 +13,7 @@
 /// A KV cache that is held at the prefill worker for a decode worker to fetch.
 #[derive(Clone)]
 pub(super) struct HeldCache {
-    /// The prefill worker that holds it.
+    /// The prefill worker that holds the KV cache.
     pub worker: WorkerId,
     /// End of the last attempt that reached a worker; the hold limit counts from here.
     pub idle_since: Micros,
@@ -233,12 +233,10 @@
 }
 
 impl Requests {
-    /// Whether there are no requests.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Adds a request.
     pub fn insert(&mut self, request: Request) {
         self.requests.insert(request.spec.request, request);
     }
--- a/src/runtime/handle.rs
+++ b/src/runtime/handle.rs
@@ -51,7 +51,7 @@
         /// Yields the events of the response.
         stream: ResponseStream,
     },
-    /// An attempt has ended.
+    /// An attempt has ended, with or without success.
     AttemptEnded {
         /// The request that the attempt belongs to.
         request: RequestId,
@@ -76,7 +76,7 @@
         /// Whether the worker has reserved the slot.
         reserved: bool,
     },
-    /// The result of a health check.
+    /// A worker has responded to a health check, or the health check has failed.
     HealthChecked {
         /// The worker that was checked.
         worker: WorkerId,
