--- a/crates/fault-soak/src/oracle/observations/mod.rs
+++ b/crates/fault-soak/src/oracle/observations/mod.rs
@@ -207,9 +207,9 @@
     pub started: Timestamp,
     /// When the process became ready.
     pub ready: Option<Timestamp>,
-    /// When it received SIGTERM.
+    /// When the process received SIGTERM.
     pub terminated: Option<Timestamp>,
-    /// When it received SIGKILL.
+    /// When the process received SIGKILL.
     pub killed: Option<Timestamp>,
     /// The exit of the process, if it exited during the run.
     pub exit: Option<Exit>,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,7 +19,7 @@
 /// The validated configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The name of the router.
+    /// The name by which the router identifies itself in the log.
     pub name: String,
     /// The address on which the router listens for clients.
     pub listen: SocketAddr,
@@ -27,11 +27,11 @@
     pub discovery: Option<SocketAddr>,
     /// The seed of the router's random numbers.
     pub seed: u64,
-    /// The resource limits of the machine.
+    /// The memory and the open file descriptors that the router may use.
     pub limits: Limits,
     /// The endpoint list that was current when the configuration was written; it may be stale.
     pub initial_endpoints: EndpointUpdate,
-    /// The policy's settings.
+    /// The settings of the deployment, which the policy and other components read.
     pub settings: Settings,
     /// How long workers keep idle connections open.
     pub idle_connection_timeout: Duration,
--- a/src/frontend/jsonrpc/protocol.rs
+++ b/src/frontend/jsonrpc/protocol.rs
@@ -220,7 +220,7 @@
 
 /// Encodes a message that the router sends.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // None of the message types can fail to serialize: they have no maps with non-string keys and
-    // no non-finite numbers.
+    // Serialization succeeds for every message type: the keys of all maps are strings, and all numbers are
+    // finite.
     serde_json::to_vec(message).unwrap_or_default()
 }
--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -69,7 +69,6 @@
     }
 }
 
-/// The state of the connection.
 impl ClientSocket {
     /// Wraps a newly accepted connection. `number` identifies it in the log.
     pub fn new(number: u64, stream: Rc<TcpStream>) -> Rc<Self> {
--- a/src/policy/latency_model.rs
+++ b/src/policy/latency_model.rs
@@ -16,7 +16,7 @@
     prefill_time_per_token: MovingAverage,
     /// Time to the first token of a decode per token of work, indexed by `Distance as usize`.
     decode_times_per_token: [MovingAverage; 3],
-    /// The same over all distances.
+    /// Time to the first token of a decode per token of work, over all distances.
     first_token_time_per_token: MovingAverage,
     /// Uncached prompt tokens of a prefill.
     uncached_tokens: MovingAverage,
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -241,7 +241,6 @@
         self.requests.insert(request.spec.request, request);
     }
 
-    /// The request with this ID.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
@@ -251,7 +250,6 @@
         self.requests.get_mut(&id)
     }
 
-    /// All requests with their IDs.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &Request)> {
         self.requests.iter().map(|(id, request)| (*id, request))
     }
--- a/src/policy/statistics.rs
+++ b/src/policy/statistics.rs
@@ -47,7 +47,6 @@
         MovingAverage { value, samples }
     }
 
-    /// Adds a sample.
     pub fn add(&mut self, sample: f64) {
         self.samples += 1.0;
         self.value += (sample - self.value) * SAMPLE_WEIGHT.max(1.0 / self.samples);
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -9,11 +9,11 @@
 pub struct RequestSnapshot {
     /// Whether the request has its final response.
     pub has_final_response: bool,
-    /// The number of attempts made so far.
+    /// The number of attempts of the request so far, those in flight included.
     pub attempts: usize,
-    /// The maximum number of attempts.
+    /// The number of attempts that the settings allow per request.
     pub max_attempts: usize,
-    /// The number of attempts in flight.
+    /// The number of attempts of the request that have no outcome yet.
     pub attempts_in_flight: usize,
     /// Whether more than one attempt may be in flight.
     pub hedging_allowed: bool,
--- a/src/runtime/exchange/stream.rs
+++ b/src/runtime/exchange/stream.rs
@@ -10,7 +10,7 @@
 /// read.
 const MAX_BUFFERED_FRAMES: usize = 16;
 
-/// A frame of a stream.
+/// What the worker's side of a stream passes to the side of the client.
 #[derive(Debug)]
 pub enum Frame {
     /// Bytes in the form in which the worker sent them.
@@ -22,7 +22,7 @@
 /// A message from the server side to the worker of a stream, such as the result of a tool call.
 #[derive(Debug)]
 pub struct Reply {
-    /// The body of the message.
+    /// The content that the worker receives.
     pub body: Bytes,
     /// Receives whether the worker accepted the message.
     pub accepted: oneshot::Sender<bool>,
--- a/src/runtime/outbound.rs
+++ b/src/runtime/outbound.rs
@@ -8,7 +8,7 @@
 
 /// An attempt of a request, to be executed by the upstream client.
 pub struct Attempt {
-    /// The number of the request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Open while the request awaits its final response. Once it is closed, the attempt must not start.
     pub request_state: RequestState,
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -12,7 +12,7 @@
     Malformed {
         /// The number of the line, from 1.
         line: u64,
-        /// The error in the line.
+        /// What is wrong with the line.
         #[source]
         error: LineError,
     },
@@ -30,19 +30,19 @@
     /// The line ends before a field of its message.
     #[error("{message}: field {field} is missing")]
     MissingField {
-        /// The name of the message.
+        /// The name of the message, which is the first field of the line.
         message: String,
-        /// The name of the field.
+        /// The name of the missing field.
         field: &'static str,
     },
     /// A field has an invalid value.
     #[error("{message}: field {field} has the value {value:?}")]
     InvalidField {
-        /// The name of the message.
+        /// The name of the message that the field belongs to.
         message: String,
-        /// The name of the field.
+        /// The name of the invalid field.
         field: &'static str,
-        /// The value of the field.
+        /// The text of the field as received.
         value: String,
     },
     /// The message is addressed to a router that was never started or has been shut down.
@@ -50,13 +50,13 @@
     UnknownRouter {
         /// The name of the message.
         message: String,
-        /// The router's number.
+        /// The number in the message that names no running router.
         router: u32,
     },
     /// The message is not part of the protocol.
     #[error("unknown message {message:?}")]
     UnknownMessage {
-        /// The name of the message.
+        /// The name that the protocol does not define.
         message: String,
     },
     /// A line between two batches does not start a batch.
@@ -74,7 +74,7 @@
     /// The input ended inside a batch.
     #[error("end of input inside a batch: {missing} missing")]
     IncompleteBatch {
-        /// The message that was expected.
+        /// The name of the message that was expected next.
         missing: &'static str,
     },
     /// The settings of a router are invalid.
--- a/src/wire_format/setting_values.rs
+++ b/src/wire_format/setting_values.rs
@@ -15,13 +15,13 @@
     /// A required setting is missing.
     #[error("INIT: setting {key} is missing")]
     Missing {
-        /// The key of the setting.
+        /// The flat key of the setting that is not set.
         key: String,
     },
     /// A setting has an invalid value.
     #[error("INIT: field {key} has the value {value:?}")]
     Invalid {
-        /// The key of the setting.
+        /// The flat key of the setting.
         key: String,
         /// The invalid value; for a list, the invalid item.
         value: String,
