--- a/crates/fault-soak/src/oracle/verdict.rs
+++ b/crates/fault-soak/src/oracle/verdict.rs
@@ -55,12 +55,12 @@
     Recovery,
 }
 
-/// A violated invariant.
+/// An observation that contradicts an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Which invariant was violated.
     pub invariant: Invariant,
-    /// When it was violated.
+    /// When the invariant was violated.
     pub at: Timestamp,
     /// The router that violated the invariant; 0 for [`Invariant::SlowStart`], which concerns the calls of
     /// all routers together.
@@ -134,7 +134,7 @@
 pub enum RequestOutcome {
     /// The client received the complete stream.
     Completed,
-    /// The stream was truncated.
+    /// The router responded with 200, but the client did not receive the complete stream.
     Truncated,
     /// The router rejected the request with 429 or 503.
     Rejected,
--- a/src/net/server/client_socket.rs
+++ b/src/net/server/client_socket.rs
@@ -69,7 +69,6 @@
     }
 }
 
-/// The state of the connection.
 impl ClientSocket {
     /// Wraps a newly accepted connection. `number` identifies it in the log.
     pub fn new(number: u64, stream: Rc<TcpStream>) -> Rc<Self> {
@@ -89,7 +88,7 @@
         })
     }
 
-    /// The TCP stream.
+    /// The accepted TCP stream that the connection runs on.
     pub fn stream(&self) -> &Rc<TcpStream> {
         &self.stream
     }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -9,11 +9,11 @@
 pub struct RequestSnapshot {
     /// Whether the request has its final response.
     pub has_final_response: bool,
-    /// The number of attempts made so far.
+    /// The number of attempts of the request so far, those in flight included.
     pub attempts: usize,
-    /// The maximum number of attempts.
+    /// The number of attempts that the settings allow per request.
     pub max_attempts: usize,
-    /// The number of attempts in flight.
+    /// The number of attempts of the request that have no outcome yet.
     pub attempts_in_flight: usize,
     /// Whether more than one attempt may be in flight.
     pub hedging_allowed: bool,
@@ -50,9 +50,9 @@
     pub is_request_open: bool,
     /// Whether the client has disconnected.
     pub client_disconnected: bool,
-    /// The current time.
+    /// The time of the check.
     pub now: Micros,
-    /// When the attempt times out.
+    /// The time at which the attempt times out.
     pub deadline: Micros,
     /// The time before which the first byte and each later part must be written, so that the attempt arrives
     /// inside its deduplication window; `None`: no limit.
@@ -66,9 +66,9 @@
 pub enum WithholdReason {
     /// The request has its final response.
     HasFinalResponse,
-    /// The client has disconnected.
+    /// The client of the request has disconnected.
     ClientDisconnected,
-    /// The attempt has timed out.
+    /// The attempt's deadline has passed.
     TimedOut,
     /// Workers would no longer recognize the attempt as a duplicate.
     DeduplicationWindowExpired,
